--- a/merlintrail/daemon/_main.py
+++ b/merlintrail/daemon/_main.py
@@ -98,7 +98,7 @@
     reloader = SettingsReloader(str(_SETTINGS.value), text, process.apply)
     node = process.node
     loop.add_signal_handler(signal.SIGHUP, reloader.ask)
-    loop.add_signal_handler(signal.SIGTERM, node.begin_stop, 'SIGTERM')
+    loop.add_signal_handler(signal.SIGTERM, node.begin_shutdown, 'SIGTERM')
     loop.add_signal_handler(signal.SIGINT, node.lifecycle.stopped.set)
     try:
         await node.start()
--- a/merlintrail/node/_backend.py
+++ b/merlintrail/node/_backend.py
@@ -189,7 +189,7 @@
         self.is_draining = not announcement.is_ready
         self.is_displaced = False
 
-    def record_loss(self, call_id: str, now: float) -> list[str]:
+    def record_lost_call(self, call_id: str, now: float) -> list[str]:
         """Take note that a call's connection was lost.
 
         A lone loss is no death where the backend server tells its identity:
@@ -210,7 +210,7 @@
         self._lost.clear()
         return digests
 
-    def list_running(self) -> list[str]:
+    def list_running_digests(self) -> list[str]:
         """Return the digests of the calls running or just lost."""
         running = [compute_call_digest(call) for call in self.running.values()]
         return [*self._lost, *running]
@@ -229,7 +229,7 @@
         """Tell whether a new connection succeeds."""
         return await self._pool.can_connect(backend.announcement.address)
 
-    async def wait_until_back(self, backend: BackendServer) -> None:
+    async def wait_until_reachable(self, backend: BackendServer) -> None:
         """Return once connections succeed again."""
         while not await self.is_listening(backend):
             await asyncio.sleep(PROBE_INTERVAL_S)
--- a/merlintrail/node/_backend_exchange.py
+++ b/merlintrail/node/_backend_exchange.py
@@ -7,8 +7,8 @@
 from merlintrail.node._backend import BackendProber
 from merlintrail.node._calls import OutgoingCall
 from merlintrail.node._contexts import ParentCall, name_sort
-from merlintrail.node._gate import Gate
-from merlintrail.node._suspicions import Suspicions
+from merlintrail.node._gate import AdmissionGate
+from merlintrail.node._suspicions import SuspectQuarantine
 from merlintrail.observability import log_decision
 from merlintrail.protocol import (
     BackendTerms,
@@ -34,7 +34,7 @@
     node_id: str
     pool: ConnectionPool
     dialect: Dialect
-    suspicions: Suspicions
+    suspicions: SuspectQuarantine
     clock: Callable[[], float]
     #: Told when a backend server's readiness changes.
     on_change: Callable[[], None]
@@ -50,7 +50,7 @@
         self.prober = BackendProber(parts.pool, parts.on_change)
 
     async def run(
-        self, gate: Gate, call: OutgoingCall, parent: ParentCall
+        self, gate: AdmissionGate, call: OutgoingCall, parent: ParentCall
     ) -> HttpResponse | Refusal:
         """Run a call that was admitted."""
         started_at = self._clock()
@@ -80,7 +80,7 @@
 
     def _list_headers(
         self,
-        gate: Gate,
+        gate: AdmissionGate,
         call: OutgoingCall,
         parent: ParentCall,
         remaining_s: float,
@@ -98,7 +98,7 @@
 
     def _judge_answer(
         self,
-        gate: Gate,
+        gate: AdmissionGate,
         parent: ParentCall,
         answer: HttpResponse,
         started_at: float,
@@ -125,7 +125,7 @@
 
     def _take_refusal(
         self,
-        gate: Gate,
+        gate: AdmissionGate,
         parent: ParentCall,
         verdict: BackendVerdict,
         now: float,
@@ -140,15 +140,15 @@
         return Refusal(outcome, Reason.BACKEND_REFUSED)
 
     async def _explain_failure(
-        self, gate: Gate, header: CallHeader, failure: TransportFailure
+        self, gate: AdmissionGate, header: CallHeader, failure: TransportFailure
     ) -> Refusal:
         if failure.stage == FailureStage.CONNECT:
             self._mark_unreachable(gate)
             return Refusal(Outcome.NOT_RUN, Reason.BACKEND_LOST, failure.reason)
         if failure.reason == TIMEOUT:
             return Refusal(Outcome.MAY_HAVE_RUN, Reason.DEADLINE_PASSED)
-        running = gate.backend.list_running()
-        digests = gate.backend.record_loss(header.call_id, self._clock())
+        running = gate.backend.list_running_digests()
+        digests = gate.backend.record_lost_call(header.call_id, self._clock())
         if not digests and not await self.prober.is_listening(gate.backend):
             digests = running
         if digests:
@@ -157,7 +157,7 @@
             Outcome.MAY_HAVE_RUN, Reason.BACKEND_LOST, failure.reason
         )
 
-    def _record_death(self, gate: Gate, digests: list[str]) -> None:
+    def _record_death(self, gate: AdmissionGate, digests: list[str]) -> None:
         suspicions = self._parts.suspicions.record_death(digests)
         log_decision(
             'backend-server-death',
@@ -173,12 +173,12 @@
         self._parts.pool.drop_idle(gate.backend.announcement.address)
         self._mark_unreachable(gate)
 
-    def _mark_unreachable(self, gate: Gate) -> None:
+    def _mark_unreachable(self, gate: AdmissionGate) -> None:
         if gate.backend.is_reachable:
             gate.backend.is_reachable = False
             self._parts.on_change()
             task = asyncio.create_task(
-                self.prober.wait_until_back(gate.backend)
+                self.prober.wait_until_reachable(gate.backend)
             )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
--- a/merlintrail/node/_backend_registry.py
+++ b/merlintrail/node/_backend_registry.py
@@ -9,7 +9,7 @@
     Departures,
     compare_announcements,
 )
-from merlintrail.node._gate import Gate
+from merlintrail.node._gate import AdmissionGate
 from merlintrail.observability import log_decision
 from merlintrail.protocol import Reason
 from merlintrail.state import Configuration
@@ -40,7 +40,7 @@
         self._departures = Departures()
         self._configuration: Configuration | None = None
         #: Gates by service.
-        self.gates: dict[str, Gate] = {}
+        self.gates: dict[str, AdmissionGate] = {}
 
     def find_own_service(self) -> str:
         """Return the service of the backend server, empty without one."""
@@ -81,7 +81,9 @@
         self._on_change()
         return order
 
-    def dismiss(self, identity: str, started_at_ms: int | None) -> bool:
+    def record_departure(
+        self, identity: str, started_at_ms: int | None
+    ) -> bool:
         """Take note that a backend server leaves; it gets no new call.
 
         :param started_at_ms: start of the run that leaves. Without it every
@@ -101,7 +103,7 @@
                 return True
         return False
 
-    def _find_gate(self, announcement: Announcement) -> Gate | None:
+    def _find_gate(self, announcement: Announcement) -> AdmissionGate | None:
         """Return the gate of a service, or of another at its address."""
         gate = self.gates.get(announcement.service)
         if gate is not None:
@@ -112,13 +114,13 @@
         return None
 
     def _replace_gate(
-        self, known: Gate | None, announcement: Announcement
-    ) -> Gate:
+        self, known: AdmissionGate | None, announcement: Announcement
+    ) -> AdmissionGate:
         """Begin a gate for a new run of a backend server."""
         if known is not None:
             known.admission.refuse_waiting(Reason.NO_BACKEND_SERVER)
             del self.gates[known.backend.announcement.service]
-        gate = Gate(announcement, self._clock)
+        gate = AdmissionGate(announcement, self._clock)
         self._configure_gate(announcement.service, gate)
         self.gates[announcement.service] = gate
         return gate
@@ -136,7 +138,7 @@
             outcome='leaving' if order is None else order.value,
         )
 
-    def _configure_gate(self, name: str, gate: Gate) -> None:
+    def _configure_gate(self, name: str, gate: AdmissionGate) -> None:
         if self._configuration is None:
             return
         service = self._configuration.services.get(name)
--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -19,7 +19,7 @@
 from merlintrail.node._ingress import Ingress, IngressParts
 from merlintrail.node._keyed import KeyedCalls, KeyedParts
 from merlintrail.node._settings import Settings
-from merlintrail.node._suspicions import Suspicions
+from merlintrail.node._suspicions import SuspectQuarantine
 from merlintrail.observability import NodeMetrics
 from merlintrail.protocol import create_id
 from merlintrail.state import (
@@ -65,20 +65,20 @@
     contexts: ContextTable
     #: Calls that other nodes sent, for their inquiries.
     calls: CallTable
-    suspicions: Suspicions
+    suspicions: SuspectQuarantine
 
 
 def create_call_path(parts: PathParts) -> CallPath:
     """Create the parts from the backend server outwards."""
     environment = parts.environment
     settings = parts.settings
-    suspicions = Suspicions(
+    suspicions = SuspectQuarantine(
         parts.quarantine,
         environment.wall_clock,
         parts.membership.tell_suspicions,
         f'{settings.instance}/{parts.incarnation}',
     )
-    contexts = ContextTable(environment.dialect, environment.source)
+    contexts = ContextTable(environment.dialect, environment.rng)
     calls = CallTable(environment.clock)
     gatekeeper = _create_gatekeeper(parts, suspicions, contexts, calls)
     exchange = PeerExchange(
@@ -87,7 +87,7 @@
     routing = RoutingTable(
         Place(settings.instance, settings.data_centre),
         environment.clock,
-        environment.source,
+        environment.rng,
     )
     dispatcher = Dispatcher(
         DispatchParts(
@@ -99,7 +99,7 @@
             parts.metrics,
             suspicions,
             environment.clock,
-            environment.source,
+            environment.rng,
         )
     )
     keyed = _create_keyed(parts, dispatcher, exchange)
@@ -117,7 +117,7 @@
             parts.find_own_service,
             environment.clock,
             environment.wall_clock,
-            environment.source,
+            environment.rng,
         )
     )
     return CallPath(
@@ -134,7 +134,7 @@
 
 def _create_gatekeeper(
     parts: PathParts,
-    suspicions: Suspicions,
+    suspicions: SuspectQuarantine,
     contexts: ContextTable,
     calls: CallTable,
 ) -> Gatekeeper:
@@ -183,14 +183,14 @@
             parts.peers,
             environment.clock,
             environment.wall_clock,
-            environment.source,
+            environment.rng,
         )
     )
     slot_parts = SlotParts(
         environment.store,
         instance,
         environment.wall_clock,
-        lambda: create_id(environment.source),
+        lambda: create_id(environment.rng),
     )
     keyed.attach(create_ledger(slot_parts, keyed.recall))
     return keyed
--- a/merlintrail/node/_dispatch.py
+++ b/merlintrail/node/_dispatch.py
@@ -18,7 +18,7 @@
     RetryPolicy,
     has_failed_there,
 )
-from merlintrail.node._suspicions import Suspicions
+from merlintrail.node._suspicions import SuspectQuarantine
 from merlintrail.observability import NodeMetrics, log_decision
 from merlintrail.protocol import (
     CallHeader,
@@ -102,7 +102,7 @@
     exchange: PeerExchange
     gate: LocalGate
     metrics: NodeMetrics
-    suspicions: Suspicions
+    suspicions: SuspectQuarantine
     clock: Callable[[], float]
     source: random.Random
 
--- a/merlintrail/node/_environment.py
+++ b/merlintrail/node/_environment.py
@@ -17,7 +17,7 @@
     store: Store
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
-    source: random.Random
+    rng: random.Random
     #: Creates pools of connections to nodes and backend servers.
     create_pool: Callable[[], ConnectionPool] = create_pool
     #: Contract with callers and backend servers.
--- a/merlintrail/node/_gate.py
+++ b/merlintrail/node/_gate.py
@@ -16,7 +16,7 @@
 _DEFAULT_QUEUE_LIMIT_S: Final = 0.1
 
 
-class Gate:
+class AdmissionGate:
     """One backend server with its limit, queue and shedding level."""
 
     def __init__(self, announcement: Announcement, clock: Callable[[], float]):
--- a/merlintrail/node/_gatekeeper.py
+++ b/merlintrail/node/_gatekeeper.py
@@ -12,8 +12,8 @@
     build_peer_answer,
 )
 from merlintrail.node._contexts import ContextTable, ParentCall, name_sort
-from merlintrail.node._gate import Gate
-from merlintrail.node._suspicions import Suspicions
+from merlintrail.node._gate import AdmissionGate
+from merlintrail.node._suspicions import SuspectQuarantine
 from merlintrail.observability import NodeMetrics, log_decision
 from merlintrail.protocol import (
     CallHeader,
@@ -46,7 +46,7 @@
     exchange: BackendExchange
     calls: CallTable
     contexts: ContextTable
-    suspicions: Suspicions
+    suspicions: SuspectQuarantine
     metrics: NodeMetrics
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
@@ -136,11 +136,11 @@
         async with gate.suspect_lock:
             answer = await self._admit(gate, call, parent)
         if isinstance(answer, HttpResponse):
-            self._parts.suspicions.acquit(suspicion)
+            self._parts.suspicions.clear_suspect(suspicion)
         return answer
 
     async def _admit(
-        self, gate: Gate, call: OutgoingCall, parent: ParentCall
+        self, gate: AdmissionGate, call: OutgoingCall, parent: ParentCall
     ) -> HttpResponse | Refusal:
         header = parent.header
         refusal = await gate.admission.admit(_build_claim(parent))
@@ -166,7 +166,9 @@
             await running
             raise
 
-    def _check(self, header: CallHeader, gate: Gate | None) -> Refusal | None:
+    def _check(
+        self, header: CallHeader, gate: AdmissionGate | None
+    ) -> Refusal | None:
         remaining_s = header.deadline_ms / _MS_PER_S
         if header.incarnation != self._parts.incarnation:
             return Refusal(Outcome.NOT_RUN, Reason.STALE_INCARNATION)
--- a/merlintrail/node/_gauges.py
+++ b/merlintrail/node/_gauges.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Final, NamedTuple
 
-from merlintrail.node._gate import Gate
+from merlintrail.node._gate import AdmissionGate
 from merlintrail.node._gatekeeper import Gatekeeper
 from merlintrail.observability import GaugePoint, NodeMetrics
 from merlintrail.state import ConfigurationHolder, MemberTable
@@ -15,7 +15,7 @@
     name: str
     unit: str
     description: str
-    read: Callable[[Gate], float]
+    read: Callable[[AdmissionGate], float]
 
 
 _GATE_GAUGES: Final = (
@@ -47,7 +47,7 @@
 
 
 def _read_gates(
-    gates: Mapping[str, Gate], read: Callable[[Gate], float]
+    gates: Mapping[str, AdmissionGate], read: Callable[[AdmissionGate], float]
 ) -> Iterable[GaugePoint]:
     for service, gate in tuple(gates.items()):
         yield GaugePoint(read(gate), service)
--- a/merlintrail/node/_ingress.py
+++ b/merlintrail/node/_ingress.py
@@ -13,7 +13,7 @@
 from merlintrail.node._dispatch import Dispatcher
 from merlintrail.node._keyed import KeyedCalls
 from merlintrail.node._resolution import Resolution, Resolver
-from merlintrail.node._suspicions import Suspicions
+from merlintrail.node._suspicions import SuspectQuarantine
 from merlintrail.observability import NodeMetrics, log_decision
 from merlintrail.protocol import (
     CallerHeaders,
@@ -50,7 +50,7 @@
     contexts: ContextTable
     dispatcher: Dispatcher
     keyed: KeyedCalls
-    suspicions: Suspicions
+    suspicions: SuspectQuarantine
     metrics: NodeMetrics
     dialect: Dialect
     #: Returns the service of the own backend server, empty without one.
@@ -185,7 +185,7 @@
         remaining_s = call.deadline - self._clock()
         if outlasts_start(stop, wall_time, remaining_s):
             return Refusal(Outcome.NOT_RUN, Reason.PLANNED_STOP)
-        if self._parts.suspicions.is_convicted(call):
+        if self._parts.suspicions.is_quarantined(call):
             return Refusal(Outcome.NOT_RUN, Reason.QUARANTINED)
         return None
 
--- a/merlintrail/node/_joiner.py
+++ b/merlintrail/node/_joiner.py
@@ -34,9 +34,9 @@
 class Joiner:
     """Joins through relays, then through the settings, else by itself."""
 
-    def __init__(self, parts: JoinParts, source: random.Random) -> None:
+    def __init__(self, parts: JoinParts, rng: random.Random) -> None:
         self._parts = parts
-        self._source = source
+        self._rng = rng
 
     async def run(self) -> None:
         """Find other nodes; go on until one is found or this is a relay.
@@ -51,7 +51,7 @@
     async def _repeat(self, attempt: Callable[[], Awaitable[bool]]) -> None:
         pause_s = MIN_JOIN_PAUSE_S
         while not await attempt():
-            await asyncio.sleep(pause_s * self._source.uniform(0.5, 1.5))
+            await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.5))
             pause_s = min(MAX_JOIN_PAUSE_S, pause_s * 2)
 
     async def _try_fetch(self) -> bool:
@@ -75,7 +75,7 @@
             for relay in relays
             if relay.data_centre != own_data_centre
         ]
-        self._source.shuffle(others)
+        self._rng.shuffle(others)
         if await self._join_any(others[:MAX_CONTACTS]):
             return True
         return self._parts.membership.own.is_relay
--- a/merlintrail/node/_lifecycle.py
+++ b/merlintrail/node/_lifecycle.py
@@ -57,7 +57,7 @@
         #: Set when the node should end.
         self.stopped = asyncio.Event()
         #: Whether callers are to turn to other nodes.
-        self.is_leaving = False
+        self.is_shutting_down = False
         self._drain: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
@@ -72,7 +72,7 @@
             log_decision('drain', instance=self._parts.instance, reason=reason)
             self._drain = asyncio.create_task(self._drain_and_stop())
 
-    def start_stop(self, reason: str, grace_s: float) -> None:
+    def start_shutdown(self, reason: str, grace_s: float) -> None:
         """Begin to end within a time, without cutting a call.
 
         The node serves on until its callers and the other nodes have turned
@@ -85,7 +85,7 @@
                 reason=reason,
                 grace_s=grace_s,
             )
-            self.is_leaving = True
+            self.is_shutting_down = True
             self._drain = asyncio.create_task(self._stop_within(grace_s))
 
     def _check_stop(self) -> None:
--- a/merlintrail/node/_node.py
+++ b/merlintrail/node/_node.py
@@ -63,7 +63,7 @@
         self._environment = environment
         self._clock = environment.clock
         self._wall_clock = environment.wall_clock
-        self._source = environment.source
+        self._rng = environment.rng
         self._tasks: list[asyncio.Task[None]] = []
         #: Listeners for callers and the backend server.
         self._servers: list[HttpServer] = []
@@ -156,7 +156,7 @@
             )
         self.settings = self.settings._replace(platform=settings.platform)
 
-    def begin_stop(self, reason: str) -> None:
+    def begin_shutdown(self, reason: str) -> None:
         """End without cutting a call, in the time that the platform gives."""
         platform = self.settings.platform
         if platform is None:
@@ -164,14 +164,14 @@
             return
         for server in self._servers:
             server.is_closing = True
-        self.lifecycle.start_stop(reason, platform.stop_grace_s)
+        self.lifecycle.start_shutdown(reason, platform.stop_grace_s)
 
     def build_health(self) -> Mapping[str, Any]:
         """Return whether the node serves, and why not."""
         reasons = []
         if self.holder.current is None:
             reasons.append('no configuration yet')
-        if self.gatekeeper.is_draining or self.lifecycle.is_leaving:
+        if self.gatekeeper.is_draining or self.lifecycle.is_shutting_down:
             reasons.append('draining')
         return {'is_ready': not reasons, 'reasons': reasons}
 
@@ -234,17 +234,15 @@
             self._wall_clock,
         )
         self.heartbeats = Heartbeats(
-            self.membership, self.peers, self._clock, self._source
+            self.membership, self.peers, self._clock, self._rng
         )
         store = self._environment.store
-        self._relay = Relay(
-            self.membership, self.heartbeats, store, self._source
-        )
+        self._relay = Relay(self.membership, self.heartbeats, store, self._rng)
         self._joiner = Joiner(
             JoinParts(
                 settings, self.membership, self.heartbeats, self._relay, store
             ),
-            self._source,
+            self._rng,
         )
 
     def _create_call_path(self) -> None:
--- a/merlintrail/node/_retry_policy.py
+++ b/merlintrail/node/_retry_policy.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from merlintrail.node._calls import GateResult, OutgoingCall
-from merlintrail.node._suspicions import Suspicions
+from merlintrail.node._suspicions import SuspectQuarantine
 from merlintrail.protocol import (
     SUBLEVELS,
     Importance,
@@ -93,7 +93,7 @@
     """
 
     def __init__(
-        self, suspicions: Suspicions, clock: Callable[[], float]
+        self, suspicions: SuspectQuarantine, clock: Callable[[], float]
     ) -> None:
         self._suspicions = suspicions
         self._clock = clock
@@ -110,7 +110,7 @@
         is_hopeless = (
             not gate_result.report.may_retry
             or call.deadline <= self._clock()
-            or self._suspicions.is_convicted(call)
+            or self._suspicions.is_quarantined(call)
         )
         if is_hopeless:
             return RetryDecision.HOPELESS
--- a/merlintrail/node/_suspicions.py
+++ b/merlintrail/node/_suspicions.py
@@ -10,7 +10,7 @@
 DEFAULT_EXPIRY_S: Final = 600.0
 
 
-class Suspicions:
+class SuspectQuarantine:
     """The quarantine of a node, and telling others of it."""
 
     def __init__(
@@ -47,12 +47,12 @@
             compute_call_digest(call), self._wall_clock()
         )
 
-    def is_convicted(self, call: OutgoingCall) -> bool:
+    def is_quarantined(self, call: OutgoingCall) -> bool:
         """Tell whether the request of a call is refused everywhere."""
         suspicion = self.find(call)
         return suspicion is not None and suspicion.is_convicted
 
-    def acquit(self, suspicion: Suspicion) -> None:
+    def clear_suspect(self, suspicion: Suspicion) -> None:
         """Clear a suspect that ran to its end."""
         cleared = self._quarantine.acquit(suspicion.digest, self._wall_clock())
         if cleared is not None:
--- a/merlintrail/node/tests/fake_network.py
+++ b/merlintrail/node/tests/fake_network.py
@@ -30,13 +30,13 @@
         #: Addresses at which nothing listens.
         self.refusing: set[str] = set()
         #: Addresses that never answer, on any connection.
-        self.silent: set[str] = set()
+        self.unresponsive: set[str] = set()
         #: Addresses whose pooled connections swallow what is sent.
-        self.swallowing: set[str] = set()
+        self.dropping_requests: set[str] = set()
         #: Addresses whose pooled connections swallow the answers.
-        self.deaf: set[str] = set()
+        self.dropping_answers: set[str] = set()
         #: Answers yet to be lost after the request was served.
-        self.losing: Counter[str] = Counter()
+        self.answers_to_lose: Counter[str] = Counter()
         #: Exchanges begun, by address.
         self.counts: Counter[str] = Counter()
 
@@ -106,8 +106,8 @@
 
     def drop_idle(self, address: str) -> int:
         """Forget the broken connections: new ones work."""
-        self._network.swallowing.discard(address)
-        self._network.deaf.discard(address)
+        self._network.dropping_requests.discard(address)
+        self._network.dropping_answers.discard(address)
         return 1
 
     async def _exchange_patiently(
@@ -137,15 +137,15 @@
         network.counts[address] += 1
         if address in network.refusing or address not in network.handlers:
             return TransportFailure(FailureStage.CONNECT, 'refused')
-        is_swallowed = address in network.swallowing and not is_fresh
-        if is_swallowed or address in network.silent:
+        is_swallowed = address in network.dropping_requests and not is_fresh
+        if is_swallowed or address in network.unresponsive:
             await asyncio.Event().wait()
         await asyncio.sleep(DELAY_S)
-        is_deaf = address in network.deaf and not is_fresh
+        is_deaf = address in network.dropping_answers and not is_fresh
         serving = asyncio.ensure_future(network.handlers[address](request))
         answer = await self._await_answer(serving, is_deaf=is_deaf)
-        if network.losing[address]:
-            network.losing[address] -= 1
+        if network.answers_to_lose[address]:
+            network.answers_to_lose[address] -= 1
             return TransportFailure(FailureStage.ANSWER, 'connection lost')
         await asyncio.sleep(DELAY_S)
         return answer
--- a/merlintrail/node/tests/session.py
+++ b/merlintrail/node/tests/session.py
@@ -104,7 +104,7 @@
         self.nodes[name] = node
         return node
 
-    async def call_with(self, request: HttpRequest) -> HttpResponse:
+    async def send_request(self, request: HttpRequest) -> HttpResponse:
         """Send a request to the first node."""
         node = next(iter(self.nodes.values()))
         return await node.local_service.handle(request)
@@ -141,7 +141,7 @@
         """Return the log handler's context."""
         return JsonLinesHandler(self._log).applicationbound()
 
-    async def call_below(
+    async def call_nested(
         self, name: str, request: HttpRequest, target: str
     ) -> HttpResponse:
         """Make a call below another, as a backend server does."""
--- a/merlintrail/node/tests/test_announcements.py
+++ b/merlintrail/node/tests/test_announcements.py
@@ -97,7 +97,7 @@
                 session = _create_session()
                 gatekeeper = session.nodes['one'].gatekeeper
                 gatekeeper.gates.clear()
-                gatekeeper.registry.dismiss('i-1', started_at_ms)
+                gatekeeper.registry.record_departure('i-1', started_at_ms)
                 order = gatekeeper.registry.announce(
                     _KNOWN._replace(sequence=4)
                 )
--- a/merlintrail/node/tests/test_golden_sessions.py
+++ b/merlintrail/node/tests/test_golden_sessions.py
@@ -41,7 +41,7 @@
     session = Session(_DOCUMENT, ('ingress', 'advisor', 'desk'))
 
     async def advise(request: HttpRequest) -> HttpResponse:
-        below = await session.call_below(
+        below = await session.call_nested(
             'advisor', request, '/chartdesk/charts'
         )
         status = 200 if below.status == 200 else 502
@@ -64,7 +64,7 @@
         async def run(request: HttpRequest) -> HttpResponse:
             if below is None:
                 raise ConnectionAbortedError
-            answer = await session.call_below(node, request, f'/{below}/x')
+            answer = await session.call_nested(node, request, f'/{below}/x')
             return HttpResponse(502, (), answer.body)
 
         return run
@@ -138,9 +138,9 @@
 
 async def _run_faults(session: Session) -> None:
     """A connection gone silent, a lost answer, a drain."""
-    session.network.swallowing.add('advisor:2')
+    session.network.dropping_requests.add('advisor:2')
     await session.call('ingress', '/fitadvisor/advice', 'swallowed')
-    session.network.losing['advisor:2'] = 1
+    session.network.answers_to_lose['advisor:2'] = 1
     await session.call('ingress', '/fitadvisor/advice', 'answer lost')
     session.nodes['advisor'].gatekeeper.is_draining = True
     await session.call('ingress', '/fitadvisor/advice', 'draining')
--- a/merlintrail/node/tests/test_inquiries.py
+++ b/merlintrail/node/tests/test_inquiries.py
@@ -26,7 +26,7 @@
 
         async def scenario() -> None:
             session = create_read_write_session('one')
-            session.network.swallowing.add('one:2')
+            session.network.dropping_requests.add('one:2')
             loop = asyncio.get_running_loop()
             started_at = loop.time()
             answer = await session.call('ingress', '/svc/write', 'a')
@@ -44,9 +44,9 @@
                 session = create_read_write_session('one', 'two')
                 for address in ('one:2', 'two:2'):
                     if fault == 'losing':
-                        session.network.losing[address] = 1
+                        session.network.answers_to_lose[address] = 1
                     else:
-                        session.network.deaf.add(address)
+                        session.network.dropping_answers.add(address)
                 answer = await session.call('ingress', '/svc/write', 'a')
                 self.assertEqual((answer.status, answer.body), (200, b'a'))
                 self.assertEqual(session.executions['svc a'], 1)
@@ -58,7 +58,7 @@
 
         async def scenario() -> None:
             session = create_read_write_session('one')
-            session.network.silent.add('one:2')
+            session.network.unresponsive.add('one:2')
             answer = await session.call('ingress', '/svc/write', 'a')
             self.assertEqual(get_header(answer, OUTCOME_HEADER), 'may-have-run')
 
@@ -69,7 +69,7 @@
 
         async def scenario() -> None:
             session = create_read_write_session('one', 'two')
-            session.network.silent.add('one:2')
+            session.network.unresponsive.add('one:2')
             for number in range(8):
                 answer = await session.call('ingress', '/svc/read', str(number))
                 self.assertEqual(answer.status, 200)
@@ -82,7 +82,7 @@
         async def scenario() -> None:
             for _ in range(4):
                 session = create_read_write_session('one', 'two')
-                session.network.silent.add('one:2')
+                session.network.unresponsive.add('one:2')
                 session.nodes['two'].gatekeeper.is_draining = True
                 answer = await session.call('ingress', '/svc/read', 'a')
                 if session.network.counts['one:2']:
@@ -119,7 +119,7 @@
         async def scenario() -> None:
             session = create_read_write_session('one')
             node = session.nodes['one']
-            session.network.losing['one:2'] = 1
+            session.network.answers_to_lose['one:2'] = 1
             call = asyncio.create_task(
                 session.call('ingress', '/svc/write', 'a')
             )
--- a/merlintrail/node/tests/test_lifecycle.py
+++ b/merlintrail/node/tests/test_lifecycle.py
@@ -31,7 +31,7 @@
         async def scenario() -> None:
             session = _create_session(0.05)
             node = session.nodes['one']
-            node.lifecycle.start_stop('SIGTERM', _GRACE_S)
+            node.lifecycle.start_shutdown('SIGTERM', _GRACE_S)
             self.assertFalse(node.build_health()['is_ready'])
             for _ in range(4):
                 await asyncio.sleep(0.5)
@@ -51,7 +51,7 @@
         async def scenario() -> None:
             session = _create_session(2.0)
             node = session.nodes['one']
-            node.lifecycle.start_stop('SIGTERM', _GRACE_S)
+            node.lifecycle.start_shutdown('SIGTERM', _GRACE_S)
             await asyncio.sleep(2.3)
             answer = await session.call('one', '/svc/read')
             self.assertEqual(answer.status, 200)
@@ -67,7 +67,7 @@
         async def scenario() -> None:
             session = _create_session(60.0)
             node = session.nodes['one']
-            node.lifecycle.start_stop('SIGTERM', _GRACE_S)
+            node.lifecycle.start_shutdown('SIGTERM', _GRACE_S)
             calls = asyncio.create_task(session.call('one', '/svc/read'))
             async with asyncio.timeout(_GRACE_S - 0.5):
                 await node.lifecycle.stopped.wait()
--- a/merlintrail/node/tests/test_outcomes.py
+++ b/merlintrail/node/tests/test_outcomes.py
@@ -59,7 +59,7 @@
                 return HttpResponse(200, (), b'')
 
             async def run_top(request: HttpRequest) -> HttpResponse:
-                return await session.call_below('one', request, '/deep/x')
+                return await session.call_nested('one', request, '/deep/x')
 
             session.add_backend('one', 'top', run_top)
             session.add_backend('two', 'deep', run_deep)
@@ -90,7 +90,7 @@
                 async def run(request: HttpRequest) -> HttpResponse:
                     if number == len(names) - 1:
                         raise ConnectionAbortedError
-                    answer = await session.call_below(
+                    answer = await session.call_nested(
                         node, request, f'/s{number + 1}/x'
                     )
                     status = 200 if answer.status == 200 else 502
@@ -120,7 +120,9 @@
 
             async def run_top(request: HttpRequest) -> HttpResponse:
                 for _ in range(6):
-                    answer = await session.call_below('one', request, '/deep/x')
+                    answer = await session.call_nested(
+                        'one', request, '/deep/x'
+                    )
                     statuses.append(answer.status)
                 return HttpResponse(200, (), b'')
 
@@ -152,7 +154,7 @@
             session = Session(document, ('ingress', 'one', 'two'))
 
             async def run_top(request: HttpRequest) -> HttpResponse:
-                await session.call_below('one', request, '/deep/x')
+                await session.call_nested('one', request, '/deep/x')
                 return HttpResponse(503, ((OUTCOME_HEADER, 'not-run'),), b'')
 
             session.add_backend('one', 'top', run_top)
--- a/merlintrail/platform/_adapter.py
+++ b/merlintrail/platform/_adapter.py
@@ -27,7 +27,7 @@
         self._heartbeats = HeartbeatService(
             HeartbeatParts(
                 node.gatekeeper.registry.announce,
-                node.gatekeeper.registry.dismiss,
+                node.gatekeeper.registry.record_departure,
                 self._is_service,
                 lambda: self._settings.backend_address,
             )
--- a/merlintrail/platform/tests/test_calls_below.py
+++ b/merlintrail/platform/tests/test_calls_below.py
@@ -96,7 +96,7 @@
         async def scenario() -> None:
             session = _create_session('{parent}.{number}')
             serving = asyncio.create_task(
-                session.call_with(_build_request('upper', 'request-1'))
+                session.send_request(_build_request('upper', 'request-1'))
             )
             await asyncio.sleep(0.006)
             serving.cancel()
