--- a/merlintrail/node/_backend_exchange.py
+++ b/merlintrail/node/_backend_exchange.py
@@ -8,7 +8,7 @@
 from merlintrail.node._calls import OutgoingCall
 from merlintrail.node._contexts import ParentCall, name_sort
 from merlintrail.node._gate import AdmissionGate
-from merlintrail.node._suspicions import SuspectQuarantine
+from merlintrail.node._suspect_quarantine import SuspectQuarantine
 from merlintrail.observability import log_decision
 from merlintrail.protocol import (
     BackendTerms,
--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -19,7 +19,7 @@
 from merlintrail.node._ingress import Ingress, IngressParts
 from merlintrail.node._keyed import KeyedCalls, KeyedParts
 from merlintrail.node._settings import Settings
-from merlintrail.node._suspicions import SuspectQuarantine
+from merlintrail.node._suspect_quarantine import SuspectQuarantine
 from merlintrail.observability import NodeMetrics
 from merlintrail.protocol import create_id
 from merlintrail.state import (
--- a/merlintrail/node/_dispatch.py
+++ b/merlintrail/node/_dispatch.py
@@ -18,7 +18,7 @@
     RetryPolicy,
     has_failed_there,
 )
-from merlintrail.node._suspicions import SuspectQuarantine
+from merlintrail.node._suspect_quarantine import SuspectQuarantine
 from merlintrail.observability import NodeMetrics, log_decision
 from merlintrail.protocol import (
     CallHeader,
--- a/merlintrail/node/_gatekeeper.py
+++ b/merlintrail/node/_gatekeeper.py
@@ -13,7 +13,7 @@
 )
 from merlintrail.node._contexts import ContextTable, ParentCall, name_sort
 from merlintrail.node._gate import AdmissionGate
-from merlintrail.node._suspicions import SuspectQuarantine
+from merlintrail.node._suspect_quarantine import SuspectQuarantine
 from merlintrail.observability import NodeMetrics, log_decision
 from merlintrail.protocol import (
     CallHeader,
--- a/merlintrail/node/_ingress.py
+++ b/merlintrail/node/_ingress.py
@@ -13,7 +13,7 @@
 from merlintrail.node._dispatch import Dispatcher
 from merlintrail.node._keyed import KeyedCalls
 from merlintrail.node._resolution import Resolution, Resolver
-from merlintrail.node._suspicions import SuspectQuarantine
+from merlintrail.node._suspect_quarantine import SuspectQuarantine
 from merlintrail.observability import NodeMetrics, log_decision
 from merlintrail.protocol import (
     CallerHeaders,
--- a/merlintrail/node/_retry_policy.py
+++ b/merlintrail/node/_retry_policy.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from merlintrail.node._calls import GateResult, OutgoingCall
-from merlintrail.node._suspicions import SuspectQuarantine
+from merlintrail.node._suspect_quarantine import SuspectQuarantine
 from merlintrail.protocol import (
     SUBLEVELS,
     Importance,
