--- a/merlintrail/node/__init__.py
+++ b/merlintrail/node/__init__.py
@@ -1,4 +1,4 @@
-"""The node: call path, lifecycle, and its parts put together."""
+"""Node process: call path, lifecycle and their assembly."""
 
 from merlintrail.node._backend import (
     Announcement,
--- a/merlintrail/node/_backend.py
+++ b/merlintrail/node/_backend.py
@@ -1,4 +1,4 @@
-"""A backend server beside the node, as it announced itself."""
+"""State and announcements of a backend server beside the node."""
 
 import asyncio
 import enum
@@ -10,95 +10,113 @@
 from merlintrail.protocol import BackendLoad
 from merlintrail.transport import ConnectionPool, HttpRequest, TransportFailure
 
-#: Seconds between tries to reach a backend server that is down.
+#: Seconds between attempts to connect to an unreachable backend server.
 PROBE_INTERVAL_S: Final = 0.1
-#: Seconds to wait for the answer of a health or load endpoint.
+#: Timeout in seconds for a request to a health or load endpoint.
 HINT_TIMEOUT_S: Final = 0.5
-#: Seconds between looks at the health and load endpoints.
+#: Seconds between polls of the health and load endpoints.
 HINT_INTERVAL_S: Final = 2.0
-#: Seconds within which calls that fail together count as one death.
-DEATH_WINDOW_S: Final = 0.1
-#: Seconds for which an announcement lasts if it names no time.
+#: Calls whose connections are lost within this many seconds of the first
+#: loss count towards the same crash.
+CRASH_WINDOW_S: Final = 0.1
+#: Seconds until an announcement expires that gives no ``ttl_s``.
 DEFAULT_TTL_S: Final = 10.0
-#: Backend servers that left which are remembered by identity.
-MAX_DEPARTED: Final = 64
+#: Departed runs that are remembered, one for each identity; the oldest entry
+#: is evicted first.
+MAX_DEPARTED_RUNS: Final = 64
+#: Largest number of slots that an announcement may give.
 _MAX_SLOTS: Final = 100000
 
 
 class Announcement(NamedTuple):
-    """What a backend server says of itself."""
+    """Self-description of a backend server, sent to its node."""
 
     service: str
-    #: ``host:port`` at which it takes calls.
+    #: ``host:port`` at which it accepts calls.
     address: str
+    #: Calls that it can run concurrently.
     slots: int
-    #: Whether it takes new calls.
+    #: Whether it accepts new calls.
     is_ready: bool = True
-    #: Seconds until it must be renewed.
+    #: Seconds until the announcement expires unless it is renewed.
     ttl_s: float = DEFAULT_TTL_S
+    #: Path of the health endpoint, if there is one.
     health_path: str | None = None
+    #: Path of the load endpoint, if there is one.
     load_path: str | None = None
-    #: Name of this run of the backend server, checked with each call.
+    #: Identity of the backend server. A dialect can send it with each call,
+    #: so that another backend server at the address rejects the call.
     identity: str | None = None
-    #: Start of this run in milliseconds since the epoch, 0 when unknown.
+    #: Start of this run in milliseconds since the epoch, 0 if unknown.
     started_at_ms: int = 0
-    #: Raised with each announcement of one run.
+    #: Increases with each announcement of one run; 0 if not used.
     sequence: int = 0
 
 
 class InvalidAnnouncement(NamedTuple):
-    """Sentinel in place of an announcement, with all faults."""
+    """Returned instead of an announcement when a document is invalid."""
 
+    #: One message for each fault.
     findings: tuple[str, ...]
 
 
 class AnnouncementOrder(enum.Enum):
-    """How an announcement stands to the one that is known."""
+    """How an announcement relates to the current one."""
 
     #: From another run of the backend server.
     NEW_RUN = 'new run'
+    #: A newer announcement of the same run.
     RENEWAL = 'renewal'
-    #: Overtaken by a later one, or from a run that has ended.
+    #: Not newer than the current announcement, or from a run that has ended.
     STALE = 'stale'
 
 
-class Departures:
-    """Runs of backend servers that said that they leave."""
+class DepartedRuns:
+    """Runs of backend servers that announced their departure."""
 
     def __init__(self) -> None:
+        #: Start of the last departed run in milliseconds since the epoch, by
+        #: identity.
         self._started_at_ms: dict[str, int] = {}
 
     def record(self, identity: str, started_at_ms: int) -> None:
-        """Take note that a run is ending."""
+        """Record that a run is ending."""
         self._started_at_ms[identity] = started_at_ms
-        if len(self._started_at_ms) > MAX_DEPARTED:
+        if len(self._started_at_ms) > MAX_DEPARTED_RUNS:
             del self._started_at_ms[next(iter(self._started_at_ms))]
 
-    def includes(self, news: Announcement) -> bool:
-        """Tell whether an announcement comes from a run that left."""
-        if news.identity is None:
+    def includes(self, announcement: Announcement) -> bool:
+        """Return whether an announcement comes from a departed run.
+
+        Runs that started before the departed run of the same identity count
+        as departed too.
+        """
+        if announcement.identity is None:
             return False
-        known_ms = self._started_at_ms.get(news.identity)
-        return known_ms is not None and news.started_at_ms <= known_ms
+        departed_ms = self._started_at_ms.get(announcement.identity)
+        return (
+            departed_ms is not None
+            and announcement.started_at_ms <= departed_ms
+        )
 
 
 def compare_announcements(
-    known: Announcement | None, news: Announcement
+    current: Announcement | None, received: Announcement
 ) -> AnnouncementOrder:
-    """Tell whether an announcement replaces the one that is known.
+    """Return how a received announcement relates to the current one.
 
-    Announcements may come late, repeated and out of order, also after the
-    backend server has been replaced by another at the same address.
+    Announcements may arrive late, more than once or out of order, even after
+    another backend server has taken over the address.
     """
-    if known is None:
+    if current is None:
         return AnnouncementOrder.NEW_RUN
-    run = (known.identity, known.started_at_ms, known.address)
-    if run != (news.identity, news.started_at_ms, news.address):
-        is_older = news.started_at_ms < known.started_at_ms
+    run = (current.identity, current.started_at_ms, current.address)
+    if run != (received.identity, received.started_at_ms, received.address):
+        is_older = received.started_at_ms < current.started_at_ms
         return (
             AnnouncementOrder.STALE if is_older else AnnouncementOrder.NEW_RUN
         )
-    is_overtaken = news.sequence and news.sequence <= known.sequence
+    is_overtaken = received.sequence and received.sequence <= current.sequence
     return (
         AnnouncementOrder.STALE if is_overtaken else AnnouncementOrder.RENEWAL
     )
@@ -107,7 +125,7 @@
 def read_announcement(
     document: Mapping[str, Any],
 ) -> Announcement | InvalidAnnouncement:
-    """Read and check an announcement."""
+    """Parse and validate an announcement; report every fault at once."""
     findings = [
         f'unknown member {name!r}'
         for name in document
@@ -128,14 +146,14 @@
         findings.append('ttl_s: needs a positive number of seconds')
     if not isinstance(document.get('is_ready', True), bool):
         findings.append('is_ready: needs true or false')
-    findings.extend(_check_run(document))
+    findings.extend(_check_run_fields(document))
     if findings:
         return InvalidAnnouncement(tuple(findings))
     return Announcement(**document)
 
 
-def _check_run(document: Mapping[str, Any]) -> list[str]:
-    """Check what tells one run of a backend server from another."""
+def _check_run_fields(document: Mapping[str, Any]) -> list[str]:
+    """Return the faults of the fields that tell runs and renewals apart."""
     findings = []
     identity = document.get('identity')
     if identity is not None and not (isinstance(identity, str) and identity):
@@ -151,73 +169,80 @@
 class BackendServer:
     """State of one backend server.
 
-    Health and load endpoints are hints: they are shown to operators and
-    logged, while readiness follows from connections and answers.
+    What the health and load endpoints return is only shown to operators.
+    Readiness depends on announcements, connections and responses instead.
     """
 
     def __init__(self, announcement: Announcement, now: float) -> None:
         self.announcement = announcement
+        #: Clock time of the last announcement.
         self.renewed_at = now
         #: Whether connections succeed.
         self.is_reachable = True
-        #: Whether it said that it drains.
+        #: Whether it announced that it is draining or departing.
         self.is_draining = not announcement.is_ready
-        #: Whether another backend server answered at its address.
+        #: Whether another backend server answered at its address; cleared when
+        #: the announcement is renewed.
         self.is_displaced = False
-        #: What the health endpoint said last.
+        #: Last response of the health endpoint, or why there was none.
         self.health_hint = 'unknown'
-        #: What the load endpoint said last.
+        #: Last response of the load endpoint, or why there was none.
         self.load_hint: object = None
-        #: Load that its last answer told.
+        #: Load that it reported with its last response.
         self.load: BackendLoad | None = None
-        #: Calls running in it, by call identifier.
+        #: Calls that run in it, by call identifier.
         self.running: dict[str, OutgoingCall] = {}
-        #: Calls lost together, within a short time.
-        self._lost: Counter[str] = Counter()
+        #: Calls lost within :data:`CRASH_WINDOW_S`, counted by request digest.
+        self._lost_digests: Counter[str] = Counter()
+        #: Clock time of the first of these losses.
         self._lost_since = 0.0
 
     def is_ready(self, now: float) -> bool:
-        """Tell whether it takes new calls."""
+        """Return whether it accepts new calls."""
         is_current = now - self.renewed_at < self.announcement.ttl_s
-        is_there = self.is_reachable and not self.is_displaced
-        return is_current and is_there and not self.is_draining
+        is_available = self.is_reachable and not self.is_displaced
+        return is_current and is_available and not self.is_draining
 
     def renew(self, announcement: Announcement, now: float) -> None:
-        """Take a renewed announcement."""
+        """Apply a renewed announcement."""
         self.announcement = announcement
         self.renewed_at = now
         self.is_draining = not announcement.is_ready
         self.is_displaced = False
 
     def record_lost_call(self, call_id: str, now: float) -> list[str]:
-        """Take note that a call's connection was lost.
+        """Record that the connection of a call was lost.
 
-        A lone loss is no death where the backend server tells its identity:
-        a new run of it would say so.
+        The backend server has presumably crashed once all its running calls
+        are lost. If it announces an identity, a single lost call is not
+        enough evidence: after a crash, the new run would announce itself.
 
-        :returns: digests of the calls that ran, once all of them are lost.
+        :returns: digests of the lost calls in case of a crash, else nothing.
         """
-        if now - self._lost_since > DEATH_WINDOW_S:
-            self._lost.clear()
+        if now - self._lost_since > CRASH_WINDOW_S:
+            self._lost_digests.clear()
             self._lost_since = now
         lost = self.running.pop(call_id, None)
         if lost is not None:
-            self._lost[compute_call_digest(lost)] += 1
-        least = 1 if self.announcement.identity is None else 2
-        if self.running or self._lost.total() < least:
+            self._lost_digests[compute_call_digest(lost)] += 1
+        min_losses = 1 if self.announcement.identity is None else 2
+        if self.running or self._lost_digests.total() < min_losses:
             return []
-        digests = list(self._lost)
-        self._lost.clear()
+        digests = list(self._lost_digests)
+        self._lost_digests.clear()
         return digests
 
     def list_running_digests(self) -> list[str]:
-        """Return the digests of the calls running or just lost."""
+        """Return the digests of calls that are running or were just lost."""
         running = [compute_call_digest(call) for call in self.running.values()]
-        return [*self._lost, *running]
+        return [*self._lost_digests, *running]
 
 
 class BackendProber:
-    """Finds out when a backend server is back, and reads its hints."""
+    """Probes the connections and the health and load endpoints.
+
+    :param on_change: called when a backend server is reachable again.
+    """
 
     def __init__(
         self, pool: ConnectionPool, on_change: Callable[[], None]
@@ -226,18 +251,18 @@
         self._on_change = on_change
 
     async def is_listening(self, backend: BackendServer) -> bool:
-        """Tell whether a new connection succeeds."""
+        """Return whether a new connection succeeds."""
         return await self._pool.can_connect(backend.announcement.address)
 
     async def wait_until_reachable(self, backend: BackendServer) -> None:
-        """Return once connections succeed again."""
+        """Wait for a connection to succeed, then mark it reachable."""
         while not await self.is_listening(backend):
             await asyncio.sleep(PROBE_INTERVAL_S)
         backend.is_reachable = True
         self._on_change()
 
     async def read_hints(self, backend: BackendServer) -> None:
-        """Look at the health and load endpoints."""
+        """Poll the health and load endpoints."""
         announcement = backend.announcement
         if announcement.health_path is not None:
             answer = await self._fetch(announcement, announcement.health_path)
@@ -262,5 +287,5 @@
 
 
 def is_local_sender(request: HttpRequest, own_host: str) -> bool:
-    """Tell whether a request comes from the node's own instance."""
+    """Return whether a request comes from the node's own instance."""
     return request.remote_host in {'127.0.0.1', '::1', own_host}
--- a/merlintrail/node/_backend_registry.py
+++ b/merlintrail/node/_backend_registry.py
@@ -1,4 +1,4 @@
-"""Backend servers that announced themselves to this node."""
+"""Registry of the backend servers that announced themselves to the node."""
 
 from collections.abc import Callable
 from typing import Final
@@ -6,7 +6,7 @@
 from merlintrail.node._backend import (
     Announcement,
     AnnouncementOrder,
-    Departures,
+    DepartedRuns,
     compare_announcements,
 )
 from merlintrail.node._gate import AdmissionGate
@@ -18,10 +18,10 @@
 
 
 class BackendRegistry:
-    """Keeps a gate for each backend server, by its announcements.
+    """Keeps one admission gate for each announced backend server.
 
-    What is announced late, again, or by one that is leaving changes
-    nothing. A backend server takes the place of another at its address.
+    Outdated announcements and those of departed runs are ignored.
+    A backend server replaces another one at the same address.
     """
 
     def __init__(
@@ -32,35 +32,36 @@
     ) -> None:
         """Create an empty registry.
 
-        :param on_change: told when a backend server's readiness changes.
+        :param on_change: called when the readiness of a backend server may
+            have changed.
         """
         self._clock = clock
         self._wall_clock = wall_clock
         self._on_change = on_change
-        self._departures = Departures()
+        self._departed_runs = DepartedRuns()
         self._configuration: Configuration | None = None
-        #: Gates by service.
+        #: Admission gates by service.
         self.gates: dict[str, AdmissionGate] = {}
 
     def find_own_service(self) -> str:
-        """Return the service of the backend server, empty without one."""
+        """Return the service of the first backend server, empty if none."""
         return next(iter(self.gates), '')
 
     def update_configuration(self, configuration: Configuration) -> None:
-        """Take the bounds on waiting of a new configuration."""
+        """Apply the queue limits of a new configuration."""
         self._configuration = configuration
         for name, gate in self.gates.items():
             self._configure_gate(name, gate)
 
     def announce(self, announcement: Announcement) -> AnnouncementOrder:
-        """Take a backend server's announcement, its renewal or its drain.
+        """Apply an announcement: a new run, a renewal or the start of a drain.
 
-        :returns: ``STALE`` when it changes nothing.
+        :returns: ``STALE`` if the announcement was ignored.
         """
         gate = self._find_gate(announcement)
-        known = None if gate is None else gate.backend.announcement
-        order = compare_announcements(known, announcement)
-        if self._departures.includes(announcement):
+        current = None if gate is None else gate.backend.announcement
+        order = compare_announcements(current, announcement)
+        if self._departed_runs.includes(announcement):
             order = AnnouncementOrder.STALE
         if order == AnnouncementOrder.STALE:
             self._log_announcement(announcement, order)
@@ -84,18 +85,18 @@
     def record_departure(
         self, identity: str, started_at_ms: int | None
     ) -> bool:
-        """Take note that a backend server leaves; it gets no new call.
+        """Record that a backend server is departing; it gets no new calls.
 
-        :param started_at_ms: start of the run that leaves. Without it every
-            run of that identity that has begun by now is leaving.
-        :returns: False when it is not one beside this node.
+        :param started_at_ms: start of the departing run. If it is ``None``,
+            every run of the identity that has started by now departs.
+        :returns: whether the backend server was registered at this node.
         """
         if started_at_ms is None:
             started_at_ms = int(self._wall_clock() * _MS_PER_S)
-        self._departures.record(identity, started_at_ms)
+        self._departed_runs.record(identity, started_at_ms)
         for gate in self.gates.values():
             announcement = gate.backend.announcement
-            if self._departures.includes(announcement):
+            if self._departed_runs.includes(announcement):
                 gate.backend.is_draining = True
                 gate.admission.refuse_waiting(Reason.DRAINING)
                 self._log_announcement(announcement, None)
@@ -104,7 +105,7 @@
         return False
 
     def _find_gate(self, announcement: Announcement) -> AdmissionGate | None:
-        """Return the gate of a service, or of another at its address."""
+        """Return the gate of the service, or else the one at the address."""
         gate = self.gates.get(announcement.service)
         if gate is not None:
             return gate
@@ -114,12 +115,12 @@
         return None
 
     def _replace_gate(
-        self, known: AdmissionGate | None, announcement: Announcement
+        self, current: AdmissionGate | None, announcement: Announcement
     ) -> AdmissionGate:
-        """Begin a gate for a new run of a backend server."""
-        if known is not None:
-            known.admission.refuse_waiting(Reason.NO_BACKEND_SERVER)
-            del self.gates[known.backend.announcement.service]
+        """Create a gate for a new run, in place of the current one."""
+        if current is not None:
+            current.admission.refuse_waiting(Reason.NO_BACKEND_SERVER)
+            del self.gates[current.backend.announcement.service]
         gate = AdmissionGate(announcement, self._clock)
         self._configure_gate(announcement.service, gate)
         self.gates[announcement.service] = gate
--- a/merlintrail/node/_environment.py
+++ b/merlintrail/node/_environment.py
@@ -1,4 +1,4 @@
-"""What a node takes from outside."""
+"""External dependencies of a node: store, clocks, randomness, network."""
 
 import os
 import random
@@ -12,20 +12,22 @@
 
 
 class Environment(NamedTuple):
-    """What a node takes from outside, so that tests can replace it."""
+    """External dependencies of a node, which tests can replace."""
 
     store: Store
+    #: Monotonic clock in seconds.
     clock: Callable[[], float]
+    #: Seconds since the epoch.
     wall_clock: Callable[[], float]
     rng: random.Random
     #: Creates pools of connections to nodes and backend servers.
     create_pool: Callable[[], ConnectionPool] = create_pool
-    #: Contract with callers and backend servers.
+    #: Protocol spoken with callers and backend servers.
     dialect: Dialect = OwnDialect()
 
 
 def split_host_port(address: str) -> tuple[str, int]:
-    """Split a listening address."""
+    """Split an address into host and port."""
     host, _, port = address.rpartition(':')
     return host, int(port)
 
@@ -33,7 +35,7 @@
 def create_environment(
     store: Store, dialect: Dialect | None = None
 ) -> Environment:
-    """Create the environment of a real process."""
+    """Create an environment with real clocks, randomness and connections."""
     return Environment(
         store,
         time.monotonic,
--- a/merlintrail/node/_gate.py
+++ b/merlintrail/node/_gate.py
@@ -1,4 +1,4 @@
-"""One backend server with its limit, queue and shedding level."""
+"""Admission control of one backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,11 +13,12 @@
     create_limit,
 )
 
+#: Queue limit in seconds of waiting until a configuration sets one.
 _DEFAULT_QUEUE_LIMIT_S: Final = 0.1
 
 
 class AdmissionGate:
-    """One backend server with its limit, queue and shedding level."""
+    """A backend server with its concurrency limit, queue and load shedder."""
 
     def __init__(self, announcement: Announcement, clock: Callable[[], float]):
         now = clock()
@@ -27,11 +28,12 @@
         self.admission = Admission(
             self.limit, self.shedder, clock, _DEFAULT_QUEUE_LIMIT_S
         )
-        #: Held by the one suspect that runs.
+        #: Ensures that at most one request under suspicion of crashing
+        #: backend servers runs at a time.
         self.suspect_lock = asyncio.Lock()
 
     def check_ready(self, now: float) -> Refusal | None:
-        """Refuse a call that the backend server would not take."""
+        """Return the refusal for new calls, ``None`` if it accepts them."""
         if self.backend.is_ready(now):
             return None
         if self.backend.is_draining:
--- a/merlintrail/node/_gauges.py
+++ b/merlintrail/node/_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of a node's state, for operators' metrics."""
+"""Gauge metrics of a node's state."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Final, NamedTuple
@@ -10,7 +10,7 @@
 
 
 class _GateGauge(NamedTuple):
-    """A gauge with one point for each backend server."""
+    """A gauge with one data point for each backend server."""
 
     name: str
     unit: str
@@ -59,7 +59,7 @@
     table: MemberTable,
     gatekeeper: Gatekeeper,
 ) -> None:
-    """Register every gauge of a node."""
+    """Register all gauges of a node."""
     metrics.observe_gauge(
         'merlintrail.generation',
         '1',
--- a/merlintrail/node/_joiner.py
+++ b/merlintrail/node/_joiner.py
@@ -1,4 +1,4 @@
-"""How a node that starts finds the others."""
+"""Discovery of other nodes at startup."""
 
 import asyncio
 import random
@@ -14,15 +14,17 @@
 )
 from merlintrail.node._settings import Settings
 
-#: Seconds before the first and the longest pause between tries to join.
+#: Pause in seconds after the first failed attempt; it doubles with each
+#: further one and is randomised by up to half.
 MIN_JOIN_PAUSE_S: Final = 0.2
+#: Upper bound of the pause in seconds, before it is randomised.
 MAX_JOIN_PAUSE_S: Final = 3.0
-#: Relays of other data centres that a joining node asks at a time.
-MAX_CONTACTS: Final = 2
+#: Relays of other data centres that are contacted in each attempt.
+MAX_REMOTE_RELAYS: Final = 2
 
 
-class JoinParts(NamedTuple):
-    """What a joiner is made with."""
+class JoinerDependencies(NamedTuple):
+    """Dependencies of :class:`Joiner`."""
 
     settings: Settings
     membership: Membership
@@ -32,17 +34,22 @@
 
 
 class Joiner:
-    """Joins through relays, then through the settings, else by itself."""
+    """Joins the fleet through relays or the addresses in the settings.
 
-    def __init__(self, parts: JoinParts, rng: random.Random) -> None:
-        self._parts = parts
+    Each attempt contacts the relays of the own data centre, the addresses in
+    the settings and a few relays of other data centres, in this order.
+    """
+
+    def __init__(self, deps: JoinerDependencies, rng: random.Random) -> None:
+        self._deps = deps
         self._rng = rng
 
     async def run(self) -> None:
-        """Find other nodes; go on until one is found or this is a relay.
+        """Retry until the node has joined and has a configuration.
 
-        The configuration is fetched meanwhile: the others may have started
-        at the same time and know none either.
+        A node that became a relay itself need not join another one. The
+        configuration is fetched from the store at the same time, because
+        nodes that started together with this one may not have it either.
         """
         await asyncio.gather(
             self._repeat(self._try_join), self._repeat(self._try_fetch)
@@ -55,35 +62,35 @@
             pause_s = min(MAX_JOIN_PAUSE_S, pause_s * 2)
 
     async def _try_fetch(self) -> bool:
-        holder = self._parts.membership.holder
+        holder = self._deps.membership.holder
         if holder.current is None:
-            await self._parts.relay.fetch()
+            await self._deps.relay.fetch()
         return holder.current is not None
 
     async def _try_join(self) -> bool:
-        own_data_centre = self._parts.settings.data_centre
-        relays = await find_relays(self._parts.store)
-        near = [
+        own_data_centre = self._deps.settings.data_centre
+        relays = await find_relays(self._deps.store)
+        local_addresses = [
             relay.address
             for relay in relays
             if relay.data_centre == own_data_centre
         ]
-        if await self._join_any([*near, *self._parts.settings.join]):
+        if await self._join_any([*local_addresses, *self._deps.settings.join]):
             return True
-        others = [
+        remote_addresses = [
             relay.address
             for relay in relays
             if relay.data_centre != own_data_centre
         ]
-        self._rng.shuffle(others)
-        if await self._join_any(others[:MAX_CONTACTS]):
+        self._rng.shuffle(remote_addresses)
+        if await self._join_any(remote_addresses[:MAX_REMOTE_RELAYS]):
             return True
-        return self._parts.membership.own.is_relay
+        return self._deps.membership.own.is_relay
 
     async def _join_any(self, addresses: Sequence[str]) -> bool:
         for address in addresses:
-            if address == self._parts.settings.peer_address:
+            if address == self._deps.settings.peer_address:
                 continue
-            if await self._parts.heartbeats.join(address):
+            if await self._deps.heartbeats.join(address):
                 return True
         return False
--- a/merlintrail/node/_lifecycle.py
+++ b/merlintrail/node/_lifecycle.py
@@ -1,4 +1,4 @@
-"""Planned stops and draining of the whole node."""
+"""Draining and shutdown of a node, on a signal or for a planned stop."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,29 +15,31 @@
     find_stop,
 )
 
-#: Seconds between looks at the planned stops.
+#: Seconds between checks for planned stops and for running calls.
 CHECK_INTERVAL_S: Final = 0.2
-#: Seconds before a window, beyond the longest deadline, at which a node
-#: tells the others.
-NOTICE_S: Final = 5.0
-#: Seconds that a node stays after its drain was told to the others.
-SPREAD_S: Final = 1.0
-#: Share of the time to stop in which a node that was told to serves on, so
-#: that callers can turn to other nodes.
-SERVE_SHARE: Final = 0.42
-#: Seconds before a node refuses calls at which it tells the others.
-TELL_S: Final = 0.5
-#: Share of the time to stop that is left when the process ends.
-END_SHARE: Final = 0.15
-#: Seconds in which the others are told of the end.
-FAREWELL_S: Final = 0.25
-#: Seconds after which a drain ends even with calls running.
+#: Seconds by which a node begins to drain ahead of a planned stop, in addition
+#: to the longest deadline of any request kind.
+STOP_NOTICE_S: Final = 5.0
+#: Seconds that a draining node waits for its status to reach the other nodes.
+DRAIN_PROPAGATION_S: Final = 1.0
+#: Share of the grace period in which a node that received a stop signal still
+#: serves, so that callers can switch to other nodes.
+SERVING_SHARE: Final = 0.42
+#: Seconds by which a node notifies the others before it refuses calls.
+DRAIN_NOTICE_S: Final = 0.5
+#: Share of the grace period that is kept in reserve for the end of the
+#: process.
+EXIT_RESERVE_SHARE: Final = 0.15
+#: Timeout in seconds for notifying the neighbours of the departure.
+DEPARTURE_NOTICE_TIMEOUT_S: Final = 0.25
+#: Longest wait in seconds for running calls when a node drains without a
+#: grace period.
 MAX_DRAIN_S: Final = 60.0
 _MS_PER_S: Final = 1000
 
 
-class LifecycleParts(NamedTuple):
-    """What a lifecycle is made with."""
+class LifecycleDependencies(NamedTuple):
+    """Dependencies of :class:`Lifecycle`."""
 
     instance: str
     data_centre: str
@@ -50,83 +52,87 @@
 
 
 class Lifecycle:
-    """Ends a node without cutting a call."""
+    """Shuts a node down and lets running calls finish within a time limit."""
 
-    def __init__(self, parts: LifecycleParts) -> None:
-        self._parts = parts
-        #: Set when the node should end.
+    def __init__(self, deps: LifecycleDependencies) -> None:
+        self._deps = deps
+        #: Set when the process should exit.
         self.stopped = asyncio.Event()
-        #: Whether callers are to turn to other nodes.
+        #: Whether the node reports that it is not ready, so that callers
+        #: switch to other nodes while it still serves.
         self.is_shutting_down = False
         self._drain: asyncio.Task[None] | None = None
 
     async def run(self) -> None:
-        """Follow the planned stops until cancelled."""
+        """Check for planned stops until cancelled."""
         while True:
             self._check_stop()
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def start_drain(self, reason: str) -> None:
-        """Begin to drain; the node ends once it is idle."""
+        """Refuse calls to the own backend server; stop once the node is idle."""
         if self._drain is None:
-            log_decision('drain', instance=self._parts.instance, reason=reason)
+            log_decision('drain', instance=self._deps.instance, reason=reason)
             self._drain = asyncio.create_task(self._drain_and_stop())
 
     def start_shutdown(self, reason: str, grace_s: float) -> None:
-        """Begin to end within a time, without cutting a call.
+        """Shut down within a grace period and let running calls finish.
 
-        The node serves on until its callers and the other nodes have turned
-        away, then refuses, and ends once it is idle.
+        The node still serves while callers and the other nodes switch away
+        from it. Then it refuses their calls, serves the nested calls of its
+        own backend server, and stops once it is idle.
         """
         if self._drain is None:
             log_decision(
                 'drain',
-                instance=self._parts.instance,
+                instance=self._deps.instance,
                 reason=reason,
                 grace_s=grace_s,
             )
             self.is_shutting_down = True
-            self._drain = asyncio.create_task(self._stop_within(grace_s))
+            self._drain = asyncio.create_task(self._shut_down_within(grace_s))
 
     def _check_stop(self) -> None:
-        configuration = self._parts.holder.current
+        configuration = self._deps.holder.current
         if configuration is None:
             return
-        now = self._parts.wall_clock()
+        now = self._deps.wall_clock()
         stop = find_stop(
             configuration,
-            self._parts.instance,
-            self._parts.data_centre,
+            self._deps.instance,
+            self._deps.data_centre,
             now,
         )
-        self._parts.gatekeeper.planned_stop = stop
-        if stop is not None and self._compute_notice(stop) <= now:
+        self._deps.gatekeeper.planned_stop = stop
+        if stop is not None and self._compute_drain_time(stop) <= now:
             self.start_drain(f'planned stop {stop.stop_id}')
 
-    def _compute_notice(self, stop: PlannedStop) -> float:
-        """Return the time at which the node tells of its stop."""
-        configuration = self._parts.holder.current
+    def _compute_drain_time(self, stop: PlannedStop) -> float:
+        """Return the time at which draining for a planned stop begins."""
+        configuration = self._deps.holder.current
         assert configuration is not None
         longest_ms = max(
             kind.deadline_ms
             for service in configuration.services.values()
             for kind in service.kinds
         )
-        return stop.starts_at - longest_ms / _MS_PER_S - NOTICE_S
-
-    async def _stop_within(self, grace_s: float) -> None:
-        serve_s = grace_s * SERVE_SHARE
-        await asyncio.sleep(max(0.0, serve_s - TELL_S))
-        self._parts.membership.update_own(status=MemberStatus.DRAINING)
-        await asyncio.sleep(min(TELL_S, serve_s))
-        self._parts.gatekeeper.is_draining = True
-        self._parts.ingress.is_closed = True
-        await self._end_when_idle(grace_s * (1 - SERVE_SHARE - END_SHARE))
+        return stop.starts_at - longest_ms / _MS_PER_S - STOP_NOTICE_S
+
+    async def _shut_down_within(self, grace_s: float) -> None:
+        serve_s = grace_s * SERVING_SHARE
+        await asyncio.sleep(max(0.0, serve_s - DRAIN_NOTICE_S))
+        self._deps.membership.update_own(status=MemberStatus.DRAINING)
+        await asyncio.sleep(min(DRAIN_NOTICE_S, serve_s))
+        self._deps.gatekeeper.is_draining = True
+        self._deps.ingress.is_closed = True
+        await self._end_when_idle(
+            grace_s * (1 - SERVING_SHARE - EXIT_RESERVE_SHARE)
+        )
 
     async def _drain_and_stop(self) -> None:
-        self._parts.gatekeeper.is_draining = True
-        self._parts.membership.update_own(status=MemberStatus.DRAINING)
-        await asyncio.sleep(SPREAD_S)
+        self._deps.gatekeeper.is_draining = True
+        self._deps.membership.update_own(status=MemberStatus.DRAINING)
+        await asyncio.sleep(DRAIN_PROPAGATION_S)
         await self._end_when_idle(MAX_DRAIN_S)
 
     async def _end_when_idle(self, limit_s: float) -> None:
@@ -136,26 +142,24 @@
         except TimeoutError:
             log_decision(
                 'drain',
-                instance=self._parts.instance,
+                instance=self._deps.instance,
                 reason=f'calls still running after {limit_s:.1f} s',
             )
-        self._parts.membership.update_own(status=MemberStatus.LEFT)
+        self._deps.membership.update_own(status=MemberStatus.LEFT)
         try:
-            async with asyncio.timeout(FAREWELL_S):
-                await self._parts.heartbeats.tell_now()
+            async with asyncio.timeout(DEPARTURE_NOTICE_TIMEOUT_S):
+                await self._deps.heartbeats.tell_now()
         except TimeoutError:
             log_decision(
                 'drain',
-                instance=self._parts.instance,
-                reason='neighbours did not answer the farewell',
+                instance=self._deps.instance,
+                reason='neighbours did not answer the departure notice',
             )
         self.stopped.set()
 
     async def _wait_until_idle(self) -> None:
         quiet_checks = 0
         while quiet_checks < 2:
-            running = (
-                self._parts.gatekeeper.running + self._parts.ingress.running
-            )
+            running = self._deps.gatekeeper.running + self._deps.ingress.running
             quiet_checks = 0 if running else quiet_checks + 1
             await asyncio.sleep(CHECK_INTERVAL_S)
--- a/merlintrail/node/_node.py
+++ b/merlintrail/node/_node.py
@@ -1,4 +1,4 @@
-"""One node: its parts put together, started and stopped."""
+"""Assembly, startup and shutdown of a node."""
 
 import asyncio
 import os
@@ -17,10 +17,10 @@
 from merlintrail.node._call_path import PathParts, create_call_path
 from merlintrail.node._environment import Environment, split_host_port
 from merlintrail.node._gauges import register_gauges
-from merlintrail.node._joiner import Joiner, JoinParts
-from merlintrail.node._lifecycle import Lifecycle, LifecycleParts
+from merlintrail.node._joiner import Joiner, JoinerDependencies
+from merlintrail.node._lifecycle import Lifecycle, LifecycleDependencies
 from merlintrail.node._local_service import LocalService
-from merlintrail.node._peer_service import PeerParts, PeerService
+from merlintrail.node._peer_service import PeerService, PeerServiceDependencies
 from merlintrail.node._settings import Settings
 from merlintrail.node._status import (
     describe_backends,
@@ -47,7 +47,8 @@
     start_server,
 )
 
-#: Seconds between looks at the backend servers' readiness and hints.
+#: Seconds between checks of the backend servers' readiness and of the member
+#: table.
 READINESS_INTERVAL_S: Final = 0.25
 _MS_PER_S: Final = 1000
 _KIB: Final = 1024
@@ -56,7 +57,11 @@
 
 
 class Node:
-    """The one process beside a backend server."""
+    """A node: the process that runs beside a backend server.
+
+    Creates its components and connects them. They begin to work in
+    :meth:`start`.
+    """
 
     def __init__(self, settings: Settings, environment: Environment) -> None:
         self.settings = settings
@@ -65,10 +70,12 @@
         self._wall_clock = environment.wall_clock
         self._rng = environment.rng
         self._tasks: list[asyncio.Task[None]] = []
-        #: Listeners for callers and the backend server.
+        #: Servers for callers and the backend server.
         self._servers: list[HttpServer] = []
         self._peer_server: HttpServer | None = None
         self._started_at = self._clock()
+        #: Start of this process in milliseconds since the epoch. Identifies
+        #: the run to other nodes.
         self.incarnation = int(self._wall_clock() * _MS_PER_S)
         self.metrics: NodeMetrics = create_metrics(
             settings.instance, settings.otlp_endpoint
@@ -82,12 +89,12 @@
         register_gauges(self.metrics, self.holder, self.table, self.gatekeeper)
         self.holder.add_listener(self._apply_configuration)
         self.table.add_listener(self.routing.update_member)
-        self.table.add_listener(self._drop_connections)
+        self.table.add_listener(self._drop_idle_connections)
 
     async def start(self) -> None:
-        """Listen, and begin to join the others.
+        """Listen on the addresses and start the background tasks.
 
-        :raises OSError: when an address cannot be bound.
+        :raises OSError: if an address cannot be bound.
         """
         host, port = split_host_port(
             self.settings.peer_listen_address or self.settings.peer_address
@@ -109,8 +116,8 @@
         self._start_task(self.join())
         self._start_task(self.heartbeats.run())
         self._start_task(self.run_relay())
-        self._start_task(self._follow_readiness())
-        self._start_task(self._follow_hints())
+        self._start_task(self._poll_readiness())
+        self._start_task(self._poll_hints())
         self._start_task(self.lifecycle.run())
         _LOG.info(
             'node started',
@@ -122,7 +129,7 @@
         )
 
     async def stop(self) -> None:
-        """Close everything at once."""
+        """Cancel the background tasks and close servers and connections."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -134,21 +141,21 @@
         _LOG.info('node stopped', extra={'instance': self.settings.instance})
 
     async def join(self) -> None:
-        """Find the configuration and other nodes."""
+        """Join the other nodes and fetch the configuration."""
         await self._joiner.run()
         self.routing.is_settled = True
 
     async def run_relay(self) -> None:
-        """Watch the store for the data centre while a place is free."""
+        """Watch the store as a relay whenever the data centre needs one."""
         await self._relay.run()
 
     def update_settings(self, settings: Settings) -> None:
-        """Take changed settings; addresses and names need a new start."""
-        kept = self.settings._asdict()
+        """Apply reloaded settings; all but ``platform`` need a restart."""
+        current = self.settings._asdict()
         changed = [
             name
-            for name, known in settings._asdict().items()
-            if name != 'platform' and known != kept[name]
+            for name, value in settings._asdict().items()
+            if name != 'platform' and value != current[name]
         ]
         if changed:
             _LOG.warning(
@@ -157,7 +164,11 @@
         self.settings = self.settings._replace(platform=settings.platform)
 
     def begin_shutdown(self, reason: str) -> None:
-        """End without cutting a call, in the time that the platform gives."""
+        """Begin to shut down and let running calls finish.
+
+        The node stops within the grace period of the platform, if there is
+        one.
+        """
         platform = self.settings.platform
         if platform is None:
             self.lifecycle.start_drain(reason)
@@ -167,7 +178,7 @@
         self.lifecycle.start_shutdown(reason, platform.stop_grace_s)
 
     def build_health(self) -> Mapping[str, Any]:
-        """Return whether the node serves, and why not."""
+        """Return whether the node is ready, and the reasons if it is not."""
         reasons = []
         if self.holder.current is None:
             reasons.append('no configuration yet')
@@ -204,11 +215,11 @@
         }
 
     def list_members(self) -> Sequence[Mapping[str, Any]]:
-        """Return every member known, for operators."""
+        """Return all entries of the member table, for operators."""
         return describe_members(self.table)
 
     def list_routes(self) -> Sequence[Mapping[str, Any]]:
-        """Return the routes in force, none without a configuration."""
+        """Return the active routes, none without a configuration."""
         if self.holder.current is None:
             return ()
         return describe_routes(self.holder.current)
@@ -239,7 +250,7 @@
         store = self._environment.store
         self._relay = Relay(self.membership, self.heartbeats, store, self._rng)
         self._joiner = Joiner(
-            JoinParts(
+            JoinerDependencies(
                 settings, self.membership, self.heartbeats, self._relay, store
             ),
             self._rng,
@@ -274,7 +285,7 @@
     def _create_services(self) -> None:
         settings = self.settings
         self.lifecycle = Lifecycle(
-            LifecycleParts(
+            LifecycleDependencies(
                 settings.instance,
                 settings.data_centre,
                 self.holder,
@@ -290,7 +301,7 @@
             self.gatekeeper, self.ingress.handle, host, self.build_health
         )
         self.peer_service = PeerService(
-            PeerParts(
+            PeerServiceDependencies(
                 settings.fleet_key,
                 self.incarnation,
                 self.calls,
@@ -303,7 +314,7 @@
         )
 
     def _find_own_service(self) -> str:
-        """Return the service of this instance, empty while unknown."""
+        """Return the service of this instance, empty if not yet known."""
         platform = self.settings.platform
         if platform is not None and platform.service:
             return platform.service
@@ -337,10 +348,14 @@
             configuration.retry_budget, len(self.table.list_present())
         )
 
-    def _drop_connections(self, known: Member | None, member: Member) -> None:
-        """Close idle connections to a process that is gone."""
-        is_other = known is not None and known.incarnation < member.incarnation
-        if member.is_gone or is_other:
+    def _drop_idle_connections(
+        self, previous: Member | None, member: Member
+    ) -> None:
+        """Close idle connections to a member that departed or restarted."""
+        has_restarted = (
+            previous is not None and previous.incarnation < member.incarnation
+        )
+        if member.is_gone or has_restarted:
             self._pool.drop_idle(member.peer_address)
             self._peer_pool.drop_idle(member.peer_address)
 
@@ -356,7 +371,7 @@
         )
         self.membership.update_own(offers=offers)
 
-    async def _follow_readiness(self) -> None:
+    async def _poll_readiness(self) -> None:
         links_digest = 0
         while True:
             self._update_offers()
@@ -367,7 +382,7 @@
                 self._update_retries(self.holder.current)
             await asyncio.sleep(READINESS_INTERVAL_S)
 
-    async def _follow_hints(self) -> None:
+    async def _poll_hints(self) -> None:
         while True:
             await asyncio.sleep(HINT_INTERVAL_S)
             await self.gatekeeper.refresh_hints()
@@ -377,5 +392,5 @@
 
 
 def create_node(settings: Settings, environment: Environment) -> Node:
-    """Create a node that is not started yet."""
+    """Create a node; :meth:`Node.start` starts it."""
     return Node(settings, environment)
--- a/merlintrail/node/_peer_service.py
+++ b/merlintrail/node/_peer_service.py
@@ -1,4 +1,4 @@
-"""What a node answers to other nodes."""
+"""Request handling for other nodes of the fleet."""
 
 import base64
 import hmac
@@ -39,18 +39,19 @@
 _UNAUTHORIZED: Final = HttpResponse(401, (), b'')
 _NOT_FOUND: Final = HttpResponse(404, (), b'')
 
-Subject = Callable[[dict[str, Any]], object]
+#: Handles the JSON document of a control message.
+MessageHandler = Callable[[dict[str, Any]], object]
 
 
-class StatusSource(Protocol):
-    """Tells what operators want to know of the node."""
+class StatusProvider(Protocol):
+    """Provides the state of the node for operators."""
 
     def build_status(self) -> Mapping[str, Any]:
         """Return the state of the node."""
 
 
-class PeerParts(NamedTuple):
-    """What the peer service is made with."""
+class PeerServiceDependencies(NamedTuple):
+    """Dependencies of :class:`PeerService`."""
 
     fleet_key: str
     incarnation: int
@@ -58,32 +59,34 @@
     gatekeeper: Gatekeeper
     keyed: KeyedCalls
     heartbeats: Heartbeats
-    status: StatusSource
+    #: Answers status messages.
+    status: StatusProvider
     clock: Callable[[], float]
 
 
 class PeerService:
-    """Answers calls and messages of other nodes."""
-
-    def __init__(self, parts: PeerParts) -> None:
-        self._parts = parts
-        self._clock = parts.clock
-        self._subjects: Mapping[str, Subject] = {
-            'gossip': parts.heartbeats.handle_gossip,
-            'join': parts.heartbeats.handle_join,
-            'compare': parts.heartbeats.handle_comparison,
-            'configuration': self._tell_configuration,
+    """Handles calls and control messages of other nodes.
+
+    A call may only run once: repeated call identifiers are refused.
+    """
+
+    def __init__(self, deps: PeerServiceDependencies) -> None:
+        self._deps = deps
+        self._clock = deps.clock
+        self._handlers: Mapping[str, MessageHandler] = {
+            'gossip': deps.heartbeats.handle_gossip,
+            'join': deps.heartbeats.handle_join,
+            'compare': deps.heartbeats.handle_comparison,
+            'configuration': self._answer_configuration,
             'inquiry': self._answer_inquiry,
-            'recall': parts.keyed.handle_recall,
-            'status': lambda _: parts.status.build_status(),
+            'recall': deps.keyed.handle_recall,
+            'status': lambda _: deps.status.build_status(),
         }
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one request of another node."""
+        """Authenticate and handle one request of another node."""
         key = request.headers.get(FLEET_KEY_HEADER, '')
-        if not hmac.compare_digest(
-            key.encode(), self._parts.fleet_key.encode()
-        ):
+        if not hmac.compare_digest(key.encode(), self._deps.fleet_key.encode()):
             log_decision('refuse', reason='wrong fleet key')
             return _UNAUTHORIZED
         encoded = request.headers.get(CALL_HEADER)
@@ -104,23 +107,23 @@
             return build_refusal_response(refusal, '')
         call = self._build_call(request, header)
         if header.key is None:
-            gate_result = await self._parts.gatekeeper.handle_call(header, call)
+            gate_result = await self._deps.gatekeeper.handle_call(header, call)
             return build_peer_answer(gate_result, header.request_id)
         return await self._handle_keyed(header, call)
 
     async def _handle_keyed(
         self, header: CallHeader, call: OutgoingCall
     ) -> HttpResponse:
-        calls = self._parts.calls
+        calls = self._deps.calls
         state = calls.begin(header.call_id)
-        if state is not None or header.incarnation != self._parts.incarnation:
+        if state is not None or header.incarnation != self._deps.incarnation:
             refusal = Refusal(Outcome.MAY_HAVE_RUN, Reason.DUPLICATE_CALL)
             if state in {None, InquiryState.TOMBSTONE}:
                 refusal = Refusal(Outcome.NOT_RUN, Reason.TOMBSTONE)
             return build_refusal_response(refusal, header.request_id)
         gate_result: GateResult | None = None
         try:
-            gate_result = await self._parts.keyed.handle_peer_call(header, call)
+            gate_result = await self._deps.keyed.handle_peer_call(header, call)
         finally:
             if gate_result is None:
                 calls.abandon(header.call_id)
@@ -150,7 +153,7 @@
         )
 
     def _handle_message(self, request: HttpRequest) -> HttpResponse:
-        handle = self._subjects.get(request.target.removeprefix(PEER_PATH))
+        handle = self._handlers.get(request.target.removeprefix(PEER_PATH))
         document = decode_json(request.body or b'{}')
         if handle is None:
             return _NOT_FOUND
@@ -163,8 +166,8 @@
             answer = answer._asdict()
         return HttpResponse(200, (), encode_json(answer))
 
-    def _tell_configuration(self, document: dict[str, Any]) -> object:
-        difference = self._parts.heartbeats.handle_configuration(document)
+    def _answer_configuration(self, document: dict[str, Any]) -> object:
+        difference = self._deps.heartbeats.handle_configuration(document)
         return (
             DecodeFailure('no configuration')
             if difference is None
@@ -175,14 +178,14 @@
         inquiry = decode_record(Inquiry, document)
         if isinstance(inquiry, DecodeFailure):
             return inquiry
-        if inquiry.incarnation != self._parts.incarnation:
+        if inquiry.incarnation != self._deps.incarnation:
             return InquiryAnswer(InquiryState.OTHER_INCARNATION.value)
-        known = self._parts.calls.inquire(inquiry.call_id)
-        if known.answer is None:
-            return InquiryAnswer(known.state.value)
+        record = self._deps.calls.inquire(inquiry.call_id)
+        if record.answer is None:
+            return InquiryAnswer(record.state.value)
         return InquiryAnswer(
-            known.state.value,
-            known.answer.status,
-            tuple(known.answer.headers),
-            base64.b64encode(known.answer.body).decode(),
+            record.state.value,
+            record.answer.status,
+            tuple(record.answer.headers),
+            base64.b64encode(record.answer.body).decode(),
         )
--- a/merlintrail/node/_settings.py
+++ b/merlintrail/node/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one node: addresses, data centre, logging."""
+"""Settings of a node process: addresses, credentials, logging."""
 
 from collections.abc import Mapping
 from importlib import resources
@@ -17,7 +17,7 @@
 
 
 class PlatformSettings(NamedTuple):
-    """Where a deployment platform reaches the node, and its bounds."""
+    """Integration with a deployment platform."""
 
     #: ``host:port`` for readiness checks.
     ready_address: str
@@ -27,22 +27,29 @@
     service: str
     #: ``host:port`` at which that backend server listens.
     backend_address: str
-    #: Region of each data centre.
+    #: Region by data centre.
     regions: Mapping[str, str]
-    #: Seconds from the signal to stop until the process is killed.
+    #: Seconds from the stop signal until the process is killed.
     stop_grace_s: float
-    #: Retries to a service as a share of its requests, over all nodes.
+    #: Retries allowed to a service as a share of its requests, over all
+    #: nodes.
     retry_share: float
-    #: Retries that are allowed besides, in a window over all nodes.
+    #: Retries allowed in addition in each window, over all nodes.
     retry_base: float
+    #: Length of the window for retries in seconds.
     retry_window_s: float
 
 
 class Settings(NamedTuple):
-    """What a process is told at its start; nothing here is behaviour."""
+    """Settings that a node process reads at startup.
+
+    Only ``platform``, without its listening addresses, can be changed while
+    the process runs; other changes need a restart.
+    """
 
     #: Name of the instance.
     instance: str
+    #: Name of the data centre.
     data_centre: str
     #: ``host:port`` for callers and the backend server.
     call_address: str
@@ -50,31 +57,34 @@
     peer_address: str
     #: ``host:port`` for operators.
     admin_address: str
-    #: ``host:port`` of the platform's store, in the order of trial.
+    #: ``host:port`` of each server of the store, in the order in which they
+    #: are tried.
     store_addresses: tuple[str, ...]
-    #: Peer addresses to join through when the store is down.
+    #: Peer addresses of nodes to join through, in addition to the relays
+    #: that the store lists.
     join: tuple[str, ...]
-    #: Secret that nodes share.
+    #: Secret shared by all nodes.
     fleet_key: str
-    #: Name of each operator by key.
+    #: Operator name by key.
     operator_keys: Mapping[str, str]
+    #: File that logs are written to, if there is one.
     log_path: str | None
     log_level: str
-    #: URL of an OTLP/HTTP metrics endpoint.
+    #: URL of an OTLP/HTTP metrics endpoint, if metrics are exported.
     otlp_endpoint: str | None
-    #: ``host:port`` to listen on for nodes, when another than the announced.
+    #: ``host:port`` to listen on for nodes, if not ``peer_address``.
     peer_listen_address: str | None = None
     platform: PlatformSettings | None = None
 
 
 class InvalidSettings(NamedTuple):
-    """Sentinel in place of settings that have faults."""
+    """Returned instead of settings that have faults."""
 
     findings: tuple[Finding, ...]
 
 
 def parse_settings(text: str) -> Settings | InvalidSettings:
-    """Read and check settings; all findings come together."""
+    """Parse and validate settings; report every fault at once."""
     parsed = parse_json_object(text)
     if parsed.findings:
         return InvalidSettings(parsed.findings)
@@ -130,5 +140,5 @@
 
 def _read_seconds(text: str) -> float:
     seconds = parse_duration(text)
-    assert seconds is not None, 'the schema admits durations only'
+    assert seconds is not None, 'the settings schema only accepts durations'
     return seconds
--- a/merlintrail/node/_status.py
+++ b/merlintrail/node/_status.py
@@ -1,4 +1,4 @@
-"""The state of backend servers and members as operators see it."""
+"""Descriptions of backend servers, routes and members for operators."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, Final
@@ -13,7 +13,7 @@
 def describe_backends(
     gatekeeper: Gatekeeper, now: float
 ) -> Sequence[Mapping[str, Any]]:
-    """Describe the backend servers beside a node."""
+    """Describe the backend servers beside a node and their load."""
     return [
         {
             'service': name,
@@ -52,7 +52,7 @@
 
 
 def describe_members(members: Iterable[Member]) -> Sequence[Mapping[str, Any]]:
-    """Describe members."""
+    """Describe members of the fleet."""
     return [
         {
             **member._asdict(),
--- a/merlintrail/node/_suspect_quarantine.py
+++ b/merlintrail/node/_suspect_quarantine.py
@@ -1,4 +1,4 @@
-"""Suspicions against requests, as calls and answers carry them."""
+"""Quarantine of requests that crash backend servers."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, Final
@@ -6,38 +6,38 @@
 from merlintrail.node._calls import OutgoingCall, compute_call_digest
 from merlintrail.state import Quarantine, Suspicion, read_suspicion
 
-#: Seconds for which a suspicion holds before there is a configuration.
+#: Seconds until a suspicion expires if there is no configuration yet.
 DEFAULT_EXPIRY_S: Final = 600.0
 
 
 class SuspectQuarantine:
-    """The quarantine of a node, and telling others of it."""
+    """Applies a node's quarantine to calls and notifies the other nodes."""
 
     def __init__(
         self,
         quarantine: Quarantine,
         wall_clock: Callable[[], float],
-        tell: Callable[[list[Suspicion]], None],
-        process: str,
+        notify: Callable[[list[Suspicion]], None],
+        run_id: str,
     ) -> None:
-        """Create the suspicions of a node.
+        """Wrap the quarantine of a node.
 
-        :param tell: tells every other node.
-        :param process: identifies this run of the node among all.
+        :param notify: sends suspicions to the other nodes.
+        :param run_id: identifies this run of the node among all nodes.
         """
         self._quarantine = quarantine
         self._wall_clock = wall_clock
-        self._tell = tell
-        self._process = process
-        self._deaths = 0
-        #: Seconds for which a suspicion holds.
+        self._notify = notify
+        self._run_id = run_id
+        self._death_count = 0
+        #: Seconds until a suspicion expires.
         self.expiry_s = DEFAULT_EXPIRY_S
 
     def take(self, record: Sequence[Any] | None) -> None:
-        """Take a suspicion that came along with a call or an answer."""
-        told = None if record is None else read_suspicion(record)
-        if told is not None:
-            self._quarantine.merge(told, self._wall_clock())
+        """Merge a suspicion that was received with a call or a response."""
+        received = None if record is None else read_suspicion(record)
+        if received is not None:
+            self._quarantine.merge(received, self._wall_clock())
 
     def find(self, call: OutgoingCall) -> Suspicion | None:
         """Return the suspicion against the request of a call."""
@@ -48,23 +48,23 @@
         )
 
     def is_quarantined(self, call: OutgoingCall) -> bool:
-        """Tell whether the request of a call is refused everywhere."""
+        """Return whether the request of a call is refused at every node."""
         suspicion = self.find(call)
         return suspicion is not None and suspicion.is_convicted
 
     def clear_suspect(self, suspicion: Suspicion) -> None:
-        """Clear a suspect that ran to its end."""
+        """Clear a suspect request that completed without a crash."""
         cleared = self._quarantine.acquit(suspicion.digest, self._wall_clock())
         if cleared is not None:
-            self._tell([cleared])
+            self._notify([cleared])
 
     def record_death(self, digests: Sequence[str]) -> list[Suspicion]:
-        """Take note that a backend server died while requests ran in it."""
-        self._deaths += 1
+        """Record that a backend server crashed while requests ran in it."""
+        self._death_count += 1
         suspicions = self._quarantine.record_death(
-            f'{self._process}/{self._deaths}',
+            f'{self._run_id}/{self._death_count}',
             digests,
             self._wall_clock() + self.expiry_s,
         )
-        self._tell(suspicions)
+        self._notify(suspicions)
         return suspicions
--- a/merlintrail/node/tests/fake_network.py
+++ b/merlintrail/node/tests/fake_network.py
@@ -1,4 +1,4 @@
-"""Exchanges within one process, with connections that fail by script."""
+"""In-process network whose connections fail as tests configure."""
 
 import asyncio
 from collections import Counter
@@ -18,31 +18,31 @@
 )
 from merlintrail.transport._timers import TimerQueue
 
-#: Seconds that an exchange takes each way.
+#: One-way network delay in seconds.
 DELAY_S: Final = 0.001
 
 
 class FakeNetwork:
-    """Handlers by address, and what is broken."""
+    """Request handlers by address, and the faults to inject."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, RequestHandler] = {}
-        #: Addresses at which nothing listens.
+        #: Addresses that refuse connections.
         self.refusing: set[str] = set()
-        #: Addresses that never answer, on any connection.
+        #: Addresses that never respond, on any connection.
         self.unresponsive: set[str] = set()
-        #: Addresses whose pooled connections swallow what is sent.
+        #: Addresses whose pooled connections drop requests.
         self.dropping_requests: set[str] = set()
-        #: Addresses whose pooled connections swallow the answers.
+        #: Addresses whose pooled connections drop responses.
         self.dropping_answers: set[str] = set()
-        #: Answers yet to be lost after the request was served.
+        #: Responses yet to be lost after the request was served, by address.
         self.answers_to_lose: Counter[str] = Counter()
-        #: Exchanges begun, by address.
+        #: Exchanges started, by address.
         self.counts: Counter[str] = Counter()
 
 
 class _FakeConnection(ClientConnection):
-    """A connection whose exchange is a task."""
+    """A connection that runs its exchange as a task."""
 
     def __init__(
         self, task: 'asyncio.Task[HttpResponse | TransportFailure]'
@@ -50,25 +50,25 @@
         loop = task.get_loop()
         super().__init__(loop, TimerQueue(loop), max_body_bytes=0)
         self._task = task
-        self._is_ended = False
+        self._is_abandoned = False
 
     def give_up(self, reason: str) -> None:
-        """End the exchange."""
-        self._is_ended = True
+        """Cancel the exchange."""
+        self._is_abandoned = True
         self._task.cancel()
 
     async def wait(self) -> HttpResponse | TransportFailure:
-        """Wait for the answer or the end."""
+        """Wait for the response, or a failure if the exchange is given up."""
         try:
             return await self._task
         except asyncio.CancelledError:
-            if not self._is_ended:
+            if not self._is_abandoned:
                 raise
         return TransportFailure(FailureStage.ANSWER, 'ended')
 
 
 class FakePool(ConnectionPool):
-    """A pool whose connections lead to handlers of the same process."""
+    """A connection pool that calls handlers in the same process."""
 
     def __init__(self, network: FakeNetwork) -> None:
         super().__init__(1000000)
@@ -87,10 +87,10 @@
         patience: Patience | None = None,
         accepts: Callable[[HttpResponse], bool] | None = None,
     ) -> HttpResponse | TransportFailure:
-        """Pass a request to the handler at the address."""
+        """Pass a request to the handler at an address."""
         request = HttpRequest(method, target, dict(headers), body, '127.0.0.1')
         if patience is not None:
-            return await self._exchange_patiently(
+            return await self._exchange_with_patience(
                 address, request, is_fresh, patience
             )
         try:
@@ -100,24 +100,24 @@
             return TransportFailure(FailureStage.ANSWER, 'timeout')
 
     async def can_connect(self, address: str) -> bool:
-        """Tell whether something listens at the address."""
+        """Return whether connections to an address succeed."""
         network = self._network
         return address in network.handlers and address not in network.refusing
 
     def drop_idle(self, address: str) -> int:
-        """Forget the broken connections: new ones work."""
+        """Clear the faults of pooled connections; new connections work."""
         self._network.dropping_requests.discard(address)
         self._network.dropping_answers.discard(address)
         return 1
 
-    async def _exchange_patiently(
+    async def _exchange_with_patience(
         self,
         address: str,
         request: HttpRequest,
         is_fresh: bool,
         patience: Patience,
     ) -> HttpResponse | TransportFailure:
-        """Exchange; tell when it is slow, and let that end it."""
+        """Exchange, and call ``on_slow`` when the response is late."""
         loop = asyncio.get_running_loop()
         connection = _FakeConnection(
             loop.create_task(self._deliver(address, request, is_fresh))
@@ -137,13 +137,13 @@
         network.counts[address] += 1
         if address in network.refusing or address not in network.handlers:
             return TransportFailure(FailureStage.CONNECT, 'refused')
-        is_swallowed = address in network.dropping_requests and not is_fresh
-        if is_swallowed or address in network.unresponsive:
+        drops_request = address in network.dropping_requests and not is_fresh
+        if drops_request or address in network.unresponsive:
             await asyncio.Event().wait()
         await asyncio.sleep(DELAY_S)
-        is_deaf = address in network.dropping_answers and not is_fresh
+        drops_answer = address in network.dropping_answers and not is_fresh
         serving = asyncio.ensure_future(network.handlers[address](request))
-        answer = await self._await_answer(serving, is_deaf=is_deaf)
+        answer = await self._await_answer(serving, drops_answer=drops_answer)
         if network.answers_to_lose[address]:
             network.answers_to_lose[address] -= 1
             return TransportFailure(FailureStage.ANSWER, 'connection lost')
@@ -151,10 +151,14 @@
         return answer
 
     async def _await_answer(
-        self, serving: 'asyncio.Future[HttpResponse]', *, is_deaf: bool
+        self, serving: 'asyncio.Future[HttpResponse]', *, drops_answer: bool
     ) -> HttpResponse | TransportFailure:
-        """Await a handler; one whose caller has gone is cancelled."""
-        if is_deaf:
+        """Await a handler, or never respond if the response is dropped.
+
+        The handler is cancelled with the exchange, unless its response is
+        dropped: it then runs to completion.
+        """
+        if drops_answer:
             await asyncio.shield(serving)
             await asyncio.Event().wait()
         try:
@@ -164,6 +168,6 @@
 
 
 def get_header(answer: HttpResponse, name: str) -> str:
-    """Return a header of an answer, empty when it has none."""
+    """Return a response header, empty if it is missing."""
     headers: Mapping[str, str] = dict(answer.headers)
     return headers.get(name, '')
--- a/merlintrail/node/tests/session.py
+++ b/merlintrail/node/tests/session.py
@@ -1,4 +1,4 @@
-"""Scripted sessions of callers, nodes and backend servers in virtual time."""
+"""Test harness: callers, nodes and backend servers in virtual time."""
 
 import asyncio
 import io
@@ -17,7 +17,7 @@
 from merlintrail.state import Envelope
 from merlintrail.transport import HttpRequest, HttpResponse
 
-#: Seconds since the epoch at which sessions begin.
+#: Wall-clock time at the start of a session, in seconds since the epoch.
 EPOCH_S: Final = 1.8e9
 FLEET_KEY: Final = 'fleet-key'
 
@@ -25,7 +25,7 @@
 
 
 def build_kind(name: str, **changes: object) -> Mapping[str, Any]:
-    """Build a request kind of a document."""
+    """Build the entry of a request kind in a configuration document."""
     kind = {
         'name': name,
         'path': f'/{name}',
@@ -40,7 +40,7 @@
 def build_document(
     services: Mapping[str, Sequence[Mapping[str, Any]]],
 ) -> dict[str, Any]:
-    """Build a document from kinds by service."""
+    """Build a configuration document from request kinds by service."""
     return {
         'format': 1,
         'services': [
@@ -53,7 +53,10 @@
 
 
 class Session:
-    """Nodes that know each other, with backend servers beside them."""
+    """Nodes that are members of one fleet, with their backend servers.
+
+    Records calls and log lines in a transcript.
+    """
 
     def __init__(
         self,
@@ -68,14 +71,14 @@
         self._lines: list[str] = []
         self.network = FakeNetwork()
         self.store = FakeStore()
-        #: Times that each backend server ran a request, by its body.
+        #: Executions by service and request body.
         self.executions: Counter[str] = Counter()
         self.nodes = {name: self._create_node(name) for name in names}
-        self._introduce()
+        self._share_members()
         self.apply(document, 1)
 
     def apply(self, document: dict[str, Any], generation: int) -> None:
-        """Put a document in force at every node."""
+        """Apply a configuration document at every node."""
         envelope = Envelope(
             generation, f'change-{generation}', 'op', 0.0, document
         )
@@ -85,7 +88,7 @@
     def add_backend(
         self, name: str, service: str, handler: BackendHandler, slots: int = 4
     ) -> None:
-        """Put a backend server beside a node."""
+        """Add a backend server beside a node."""
         address = f'{name}:{service}'
 
         async def run(request: HttpRequest) -> HttpResponse:
@@ -96,16 +99,16 @@
         self.nodes[name].gatekeeper.registry.announce(
             Announcement(service, address, slots, ttl_s=1.0e6)
         )
-        self._introduce()
+        self._share_members()
 
     def add_node(self, name: str) -> Node:
-        """Create a node that knows nobody and no configuration."""
+        """Create a node without other members and without configuration."""
         node = self._create_node(name)
         self.nodes[name] = node
         return node
 
     async def send_request(self, request: HttpRequest) -> HttpResponse:
-        """Send a request to the first node."""
+        """Send a request to the first node, without recording it."""
         node = next(iter(self.nodes.values()))
         return await node.local_service.handle(request)
 
@@ -117,7 +120,7 @@
         headers: Mapping[str, str] | None = None,
         method: str = 'POST',
     ) -> HttpResponse:
-        """Send a caller's request to a node and record the answer."""
+        """Send a caller's request to a node and record the response."""
         node = self.nodes[name]
         request = HttpRequest(
             method, target, dict(headers or {}), body.encode(), '127.0.0.1'
@@ -132,22 +135,22 @@
         return answer
 
     def build_transcript(self) -> str:
-        """Return everything that was recorded."""
+        """Return the recorded transcript, with the count of store calls."""
         self._record_log()
         counts = json.dumps(dict(sorted(self.store.counts.items())))
         return '\n'.join((*self._lines, f'store calls: {counts}', ''))
 
     def bind_log(self) -> Any:
-        """Return the log handler's context."""
+        """Return a context manager that captures log lines."""
         return JsonLinesHandler(self._log).applicationbound()
 
     async def call_nested(
         self, name: str, request: HttpRequest, target: str
     ) -> HttpResponse:
-        """Make a call below another, as a backend server does."""
+        """Make a nested call, as a backend server does during a request."""
         headers = {CONTEXT_HEADER: request.headers[CONTEXT_HEADER]}
-        below = HttpRequest('POST', target, headers, request.body, '127.0.0.1')
-        return await self.nodes[name].local_service.handle(below)
+        nested = HttpRequest('POST', target, headers, request.body, '127.0.0.1')
+        return await self.nodes[name].local_service.handle(nested)
 
     def _create_node(self, name: str) -> Node:
         settings = Settings(
@@ -176,8 +179,8 @@
         self.network.handlers[f'{name}:2'] = node.peer_service.handle
         return node
 
-    def _introduce(self) -> None:
-        """Let every node know the others as they are now."""
+    def _share_members(self) -> None:
+        """Merge the current member record of every node into each table."""
         members = [node.membership.own for node in self.nodes.values()]
         for node in self.nodes.values():
             node.table.merge(members)
@@ -209,7 +212,7 @@
 
 
 def answer_after(seconds: float) -> BackendHandler:
-    """Create a backend server that echoes after a time."""
+    """Create a handler that echoes the request body after a delay."""
 
     async def handle(request: HttpRequest) -> HttpResponse:
         await asyncio.sleep(seconds)
@@ -218,7 +221,7 @@
     return handle
 
 
-#: A service with an idempotent kind and one that is not.
+#: A service with an idempotent and a non-idempotent request kind.
 READ_AND_WRITE = build_document(
     {
         'svc': [
@@ -230,7 +233,7 @@
 
 
 def create_read_write_session(*servers: str) -> Session:
-    """Create nodes with a backend server each, and one for callers."""
+    """Create a node for callers and others with a backend server each."""
     session = Session(READ_AND_WRITE, ('ingress', *servers))
     for name in servers:
         session.add_backend(name, 'svc', answer_after(0.01))
--- a/merlintrail/node/tests/test_announcements.py
+++ b/merlintrail/node/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements that come late, repeated, out of order or after a leave."""
+"""Late, repeated and out-of-order announcements, and departures."""
 
 import unittest
 from typing import Any, Final
@@ -13,7 +13,7 @@
 )
 from merlintrail.testing import run_virtually
 
-_KNOWN = Announcement(
+_CURRENT = Announcement(
     'svc',
     'one:svc',
     4,
@@ -56,32 +56,38 @@
     """One backend server beside one node."""
 
     def test_order(self) -> None:
-        """Which announcements replace the one that is known."""
+        """Only newer announcements replace the current one."""
         self.assertEqual(
-            compare_announcements(None, _KNOWN), AnnouncementOrder.NEW_RUN
+            compare_announcements(None, _CURRENT), AnnouncementOrder.NEW_RUN
         )
         for name, changes, order in _ORDERS:
             with self.subTest(name):
-                news = _KNOWN._replace(**changes)
-                self.assertEqual(compare_announcements(_KNOWN, news), order)
+                received = _CURRENT._replace(**changes)
+                self.assertEqual(
+                    compare_announcements(_CURRENT, received), order
+                )
 
     def test_drain_holds_against_late_announcements(self) -> None:
-        """Refused at once, as not run, until a new run announces itself."""
+        """Calls are refused until a new run announces itself.
+
+        An announcement that was sent before the drain and arrives after it
+        must not end the drain.
+        """
 
         async def scenario() -> None:
             session = _create_session()
             gatekeeper = session.nodes['one'].gatekeeper
-            gatekeeper.registry.announce(_KNOWN)
-            drain = _KNOWN._replace(sequence=6, is_ready=False)
+            gatekeeper.registry.announce(_CURRENT)
+            drain = _CURRENT._replace(sequence=6, is_ready=False)
             gatekeeper.registry.announce(drain)
             answer = await session.call('one', '/svc/read')
             self.assertEqual(answer.status, 503)
-            gatekeeper.registry.announce(_KNOWN._replace(sequence=4))
+            gatekeeper.registry.announce(_CURRENT._replace(sequence=4))
             self.assertEqual(
                 (await session.call('one', '/svc/read')).status, 503
             )
             gatekeeper.registry.announce(
-                _KNOWN._replace(started_at_ms=2000, sequence=1)
+                _CURRENT._replace(started_at_ms=2000, sequence=1)
             )
             self.assertEqual(
                 (await session.call('one', '/svc/read')).status, 200
@@ -89,8 +95,11 @@
 
         run_virtually(scenario())
 
-    def test_leave_of_a_server_that_was_not_known(self) -> None:
-        """A late heartbeat after a restart does not bring it back."""
+    def test_departure_of_an_unregistered_server(self) -> None:
+        """A late announcement of a departed run does not register it.
+
+        The node restarted in between and has no backend server registered.
+        """
 
         async def scenario() -> None:
             for started_at_ms in (1000, None):
@@ -99,7 +108,7 @@
                 gatekeeper.gates.clear()
                 gatekeeper.registry.record_departure('i-1', started_at_ms)
                 order = gatekeeper.registry.announce(
-                    _KNOWN._replace(sequence=4)
+                    _CURRENT._replace(sequence=4)
                 )
                 self.assertEqual(order, AnnouncementOrder.STALE)
                 self.assertEqual(gatekeeper.gates, {})
@@ -107,14 +116,14 @@
         run_virtually(scenario())
 
     def test_server_of_another_service_at_the_address(self) -> None:
-        """Nothing that was meant for the earlier service reaches it."""
+        """It receives no calls for the earlier service."""
 
         async def scenario() -> None:
             session = _create_session()
             gatekeeper = session.nodes['one'].gatekeeper
-            gatekeeper.registry.announce(_KNOWN)
+            gatekeeper.registry.announce(_CURRENT)
             gatekeeper.registry.announce(
-                _KNOWN._replace(
+                _CURRENT._replace(
                     service='other', identity='i-2', started_at_ms=3000
                 )
             )
--- a/merlintrail/node/tests/test_inquiries.py
+++ b/merlintrail/node/tests/test_inquiries.py
@@ -125,7 +125,7 @@
             )
             await asyncio.sleep(0.005)
             service = node.peer_service
-            service._parts = service._parts._replace(  # noqa: SLF001
+            service._deps = service._deps._replace(  # noqa: SLF001
                 incarnation=node.incarnation + 1
             )
             answer = await call
--- a/merlintrail/node/tests/test_lifecycle.py
+++ b/merlintrail/node/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""A node that is told to stop cuts nothing and ends in its time."""
+"""A node that receives a stop signal finishes its calls in time."""
 
 import asyncio
 import unittest
@@ -23,10 +23,14 @@
 
 
 class StopTest(unittest.TestCase):
-    """One of two nodes is told to stop."""
+    """One of two nodes receives a stop signal."""
 
-    def test_callers_are_served_until_they_have_turned_away(self) -> None:
-        """Not ready at once, serving for two checks, then refusing."""
+    def test_callers_are_served_until_they_have_switched(self) -> None:
+        """The node is not ready at once, but still serves for some time.
+
+        Callers need two readiness checks to switch to other nodes; only then
+        does the node refuse them.
+        """
 
         async def scenario() -> None:
             session = _create_session(0.05)
@@ -45,8 +49,8 @@
 
         run_virtually(scenario())
 
-    def test_request_in_flight_ends_whole(self) -> None:
-        """The process waits for it, within its time."""
+    def test_request_in_flight_completes(self) -> None:
+        """The node waits for the request within its grace period."""
 
         async def scenario() -> None:
             session = _create_session(2.0)
@@ -61,8 +65,8 @@
 
         run_virtually(scenario())
 
-    def test_time_is_kept_with_calls_running(self) -> None:
-        """The process ends before it would be killed."""
+    def test_grace_period_is_kept_with_calls_running(self) -> None:
+        """The node stops before the platform would kill the process."""
 
         async def scenario() -> None:
             session = _create_session(60.0)
--- a/merlintrail/node/tests/test_recovery.py
+++ b/merlintrail/node/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Nodes that all start at once find configuration and each other."""
+"""Recovery when all nodes of a fleet start at the same time."""
 
 import asyncio
 import unittest
@@ -21,7 +21,7 @@
 
 
 def _create_session() -> Session:
-    """Create nodes after a kill: the store still holds the dead relays."""
+    """Create restarted nodes and a store that still lists dead relays."""
     session = Session(_DOCUMENT, ())
     envelope = Envelope(7, 'change-7', 'op', 0.0, _DOCUMENT)
     session.store.swap(CONFIGURATION_KEY, envelope._asdict(), 0)
@@ -37,10 +37,13 @@
 
 
 class RecoveryTest(unittest.TestCase):
-    """Every process was killed, and all start again at their addresses."""
+    """All processes were killed and start again at the same addresses."""
 
-    def test_configuration_is_in_force_at_once(self) -> None:
-        """Although each joins a relay that knows none either."""
+    def test_configuration_is_applied_at_once(self) -> None:
+        """The nodes join each other, but none has the configuration yet.
+
+        Each must fetch it from the store.
+        """
 
         async def scenario() -> None:
             session = _create_session()
@@ -57,7 +60,7 @@
         run_virtually(scenario())
 
     def test_places_of_dead_relays_are_taken_over(self) -> None:
-        """Before their leases end."""
+        """Restarted nodes take them over before the old leases expire."""
 
         async def scenario() -> None:
             session = _create_session()
@@ -73,9 +76,9 @@
                 )
             )
             for place in range(2):
-                found = session.store.documents[build_relay_key('dc', place)]
-                assert isinstance(found, StoreValue)
-                if found.document['incarnation'] != 1:
+                entry = session.store.documents[build_relay_key('dc', place)]
+                assert isinstance(entry, StoreValue)
+                if entry.document['incarnation'] != 1:
                     break
             else:
                 self.fail('both places still belong to dead processes')
--- a/merlintrail/node/tests/test_status.py
+++ b/merlintrail/node/tests/test_status.py
@@ -1,4 +1,4 @@
-"""What operators are told of a node's state."""
+"""Descriptions of a node's state for operators."""
 
 import unittest
 
@@ -37,10 +37,10 @@
 
 
 class RoutesTest(unittest.TestCase):
-    """Routes as they are in force."""
+    """Description of the active routes."""
 
     def test_description(self) -> None:
-        """By host and prefix, with services, weights and terms."""
+        """Sorted by host and prefix, with services, weights and limits."""
         described = describe_routes(build_configuration(_DOCUMENT, 1, ''))
         self.assertEqual(
             [(route['host'], route['prefix']) for route in described],
--- a/merlintrail/node/tests/test_stops_and_crashes.py
+++ b/merlintrail/node/tests/test_stops_and_crashes.py
@@ -1,4 +1,4 @@
-"""Backend servers that leave, by plan or by a request that kills them."""
+"""Backend servers that drain, stop as planned or crash."""
 
 import asyncio
 import unittest
@@ -18,10 +18,10 @@
 
 
 class DrainTest(unittest.TestCase):
-    """A draining backend server gets nothing new."""
+    """Calls while a node drains or a planned stop is near."""
 
-    def test_draining_server_refuses_and_others_serve(self) -> None:
-        """Refused as not run, tried elsewhere, nobody notices."""
+    def test_draining_node_refuses_and_others_serve(self) -> None:
+        """Refused calls are sent to another node; callers see no failure."""
 
         async def scenario() -> None:
             session = create_read_write_session('one', 'two')
@@ -37,7 +37,7 @@
         run_virtually(scenario())
 
     def test_planned_stop_takes_no_call_that_outlasts_it(self) -> None:
-        """Calls whose deadline lies beyond the start are refused."""
+        """Calls whose deadline is after the start of the stop are refused."""
 
         async def scenario() -> None:
             session = create_read_write_session('one')
@@ -66,10 +66,13 @@
 
 
 class CrashTest(unittest.TestCase):
-    """A request that crashes backend servers."""
+    """A request that crashes the backend servers that run it."""
 
     def test_at_most_two_servers_are_lost(self) -> None:
-        """Sent again and again, while innocent calls run beside it."""
+        """The crashing request is quarantined, harmless ones are served.
+
+        It is sent repeatedly while harmless requests run at the same time.
+        """
 
         async def scenario() -> None:
             servers = ('one', 'two', 'three', 'four')
@@ -98,7 +101,7 @@
                 )
                 await session.call('ingress', '/svc/read', 'bad')
                 await good
-                await self.spread(session)
+                await self.share_suspicions(session)
             self.assertLessEqual(deaths, 2)
             answer = await session.call('ingress', '/svc/read', 'bad')
             self.assertEqual(
@@ -109,8 +112,8 @@
 
         run_virtually(scenario())
 
-    async def spread(self, session: Session) -> None:
-        """Tell every node what the others suspect, as gossip does."""
+    async def share_suspicions(self, session: Session) -> None:
+        """Merge the suspicions of every node into the others, as gossip does."""
         for node in session.nodes.values():
             for other in session.nodes.values():
                 for suspicion in node.quarantine.list_suspicions(0.0):
