--- a/merlintrail/node/_gauges.py
+++ b/merlintrail/node/_gauges.py
@@ -1,21 +1,21 @@
-"""Gauges of a node's state, for operators' metrics."""
+"""Gauge metrics of a node's state."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Final, NamedTuple
 
-from merlintrail.node._gate import Gate
+from merlintrail.node._gate import AdmissionGate
 from merlintrail.node._gatekeeper import Gatekeeper
 from merlintrail.observability import GaugePoint, NodeMetrics
 from merlintrail.state import ConfigurationHolder, MemberTable
 
 
 class _GateGauge(NamedTuple):
-    """A gauge with one point for each backend server."""
+    """A gauge with one data point for each backend server."""
 
     name: str
     unit: str
     description: str
-    read: Callable[[Gate], float]
+    read: Callable[[AdmissionGate], float]
 
 
 _GATE_GAUGES: Final = (
@@ -47,7 +47,7 @@
 
 
 def _read_gates(
-    gates: Mapping[str, Gate], read: Callable[[Gate], float]
+    gates: Mapping[str, AdmissionGate], read: Callable[[AdmissionGate], float]
 ) -> Iterable[GaugePoint]:
     for service, gate in tuple(gates.items()):
         yield GaugePoint(read(gate), service)
@@ -59,7 +59,7 @@
     table: MemberTable,
     gatekeeper: Gatekeeper,
 ) -> None:
-    """Register every gauge of a node."""
+    """Register all gauges of a node."""
     metrics.observe_gauge(
         'merlintrail.generation',
         '1',
