--- a/merlintrail/bench/_forwarder.py
+++ b/merlintrail/bench/_forwarder.py
@@ -16,7 +16,7 @@
 from merlintrail.node import split_host_port
 from merlintrail.protocol import (
     DEADLINE_HEADER,
-    FORWARDED_DROP,
+    HOP_BY_HOP_HEADERS,
     OUTCOME_HEADER,
     encode_json,
 )
@@ -87,7 +87,7 @@
         headers = [
             (name, text)
             for name, text in request.headers.items()
-            if name not in FORWARDED_DROP
+            if name not in HOP_BY_HOP_HEADERS
         ]
         deadline_ms = request.headers.get(DEADLINE_HEADER)
         timeout_s = DEFAULT_TIMEOUT_S
--- a/merlintrail/cli/_explain.py
+++ b/merlintrail/cli/_explain.py
@@ -24,7 +24,7 @@
 _HINTS: Final[Mapping[str, str]] = {
     Reason.OVERLOAD: 'the backend server had no slot and no room to wait',
     Reason.SHED_EARLY: 'a service on the way sheds calls of this priority',
-    Reason.DEADLINE: 'too little time was left for such a call',
+    Reason.DEADLINE_UNREACHABLE: 'too little time was left for such a call',
     Reason.DEADLINE_PASSED: 'the call was running when its time ended',
     Reason.DRAINING: 'the node or its backend server was leaving',
     Reason.NO_BACKEND_SERVER: 'no backend server of the service takes calls',
--- a/merlintrail/node/_answers.py
+++ b/merlintrail/node/_answers.py
@@ -10,7 +10,7 @@
     Reason,
     Refusal,
     decode_call_report,
-    list_returned,
+    list_returned_headers,
 )
 from merlintrail.transport import HttpResponse
 
@@ -58,7 +58,9 @@
             retry_after_s=float(answer.find_header('retry-after') or 1),
         )
         return GateResult(refusal, report)
-    stripped = HttpResponse(answer.status, list_returned(answer), answer.body)
+    stripped = HttpResponse(
+        answer.status, list_returned_headers(answer), answer.body
+    )
     return GateResult(stripped, report)
 
 
--- a/merlintrail/node/_backend_exchange.py
+++ b/merlintrail/node/_backend_exchange.py
@@ -11,8 +11,8 @@
 from merlintrail.node._suspicions import Suspicions
 from merlintrail.observability import log_decision
 from merlintrail.protocol import (
-    BackendTerms,
-    BackendVerdict,
+    CallMetadata,
+    AnswerClass,
     CallHeader,
     Dialect,
     Outcome,
@@ -75,8 +75,8 @@
         return self._judge_answer(gate, parent, answer, started_at)
 
     def _is_own(self, parent: ParentCall, answer: HttpResponse) -> bool:
-        verdict = self._parts.dialect.judge_answer(parent.token, answer)
-        return verdict != BackendVerdict.FOREIGN
+        verdict = self._parts.dialect.classify_answer(parent.token, answer)
+        return verdict != AnswerClass.FOREIGN
 
     def _list_headers(
         self,
@@ -85,7 +85,7 @@
         parent: ParentCall,
         remaining_s: float,
     ) -> list[tuple[str, str]]:
-        terms = BackendTerms(
+        metadata = CallMetadata(
             parent.token,
             remaining_s,
             gate.backend.announcement.identity,
@@ -93,7 +93,7 @@
         )
         return [
             *call.headers,
-            *self._parts.dialect.list_backend_headers(terms),
+            *self._parts.dialect.list_backend_headers(metadata),
         ]
 
     def _judge_answer(
@@ -106,13 +106,13 @@
         now = self._clock()
         held_s = now - started_at
         gate.backend.load = self._parts.dialect.read_load(answer)
-        verdict = self._parts.dialect.judge_answer(parent.token, answer)
-        is_shed = verdict == BackendVerdict.SHED and not parent.has_failed_below
-        if verdict == BackendVerdict.FAILED:
+        verdict = self._parts.dialect.classify_answer(parent.token, answer)
+        is_shed = verdict == AnswerClass.SHED and not parent.has_failed_below
+        if verdict == AnswerClass.FAILED:
             parent.has_failed = True
             return answer
-        if verdict == BackendVerdict.ANSWERED or (
-            verdict == BackendVerdict.SHED and not is_shed
+        if verdict == AnswerClass.ANSWERED or (
+            verdict == AnswerClass.SHED and not is_shed
         ):
             gate.admission.record_service(held_s, name_sort(parent.header))
             gate.limit.record_success(
@@ -127,15 +127,15 @@
         self,
         gate: Gate,
         parent: ParentCall,
-        verdict: BackendVerdict,
+        verdict: AnswerClass,
         now: float,
     ) -> Refusal:
-        if verdict == BackendVerdict.MISDIRECTED:
+        if verdict == AnswerClass.MISDIRECTED:
             gate.backend.is_displaced = True
             self._parts.on_change()
             return Refusal(Outcome.NOT_RUN, Reason.BACKEND_DISPLACED)
         gate.limit.record_refusal(now, gate.admission.running)
-        is_proved = verdict == BackendVerdict.NOT_RUN and not parent.digests
+        is_proved = verdict == AnswerClass.NOT_RUN and not parent.digests
         outcome = Outcome.NOT_RUN if is_proved else Outcome.MAY_HAVE_RUN
         return Refusal(outcome, Reason.BACKEND_REFUSED)
 
--- a/merlintrail/node/_calls.py
+++ b/merlintrail/node/_calls.py
@@ -6,14 +6,14 @@
 from merlintrail.protocol import (
     CALL_HEADER,
     FLEET_KEY_HEADER,
-    FORWARDED_DROP,
+    HOP_BY_HOP_HEADERS,
     INTERNAL_PREFIX,
     REPORT_HEADER,
     CallReport,
     Refusal,
     build_refusal_response,
-    encode_fields,
-    list_returned,
+    encode_header_record,
+    list_returned_headers,
 )
 from merlintrail.state import RetryAccount, compute_digest
 from merlintrail.transport import HeaderList, HttpRequest, HttpResponse
@@ -80,7 +80,8 @@
     return [
         (name, text)
         for name, text in request.headers.items()
-        if name not in FORWARDED_DROP and not name.startswith(INTERNAL_PREFIX)
+        if name not in HOP_BY_HOP_HEADERS
+        and not name.startswith(INTERNAL_PREFIX)
     ]
 
 
@@ -93,8 +94,8 @@
         answer = build_refusal_response(answer, request_id)
         headers = list(answer.headers)
     else:
-        headers = list_returned(answer)
-    headers.append((REPORT_HEADER, encode_fields(gate_result.report)))
+        headers = list_returned_headers(answer)
+    headers.append((REPORT_HEADER, encode_header_record(gate_result.report)))
     return HttpResponse(answer.status, headers, answer.body)
 
 
--- a/merlintrail/node/_contexts.py
+++ b/merlintrail/node/_contexts.py
@@ -30,7 +30,7 @@
         #: Whether the backend server's own answer says that it failed.
         self.has_failed = False
         #: Calls made below, over the whole tree.
-        self.calls_below = 0
+        self.nested_calls = 0
         #: Digests of the calls made so far.
         self.digests: set[str] = set()
         self._tasks: set[asyncio.Task[object]] = set()
--- a/merlintrail/node/_dispatch.py
+++ b/merlintrail/node/_dispatch.py
@@ -196,7 +196,7 @@
         self, call: OutgoingCall, tried: list[str]
     ) -> Choice | Refusal:
         if call.deadline <= self._clock():
-            return Refusal(Outcome.NOT_RUN, Reason.DEADLINE)
+            return Refusal(Outcome.NOT_RUN, Reason.DEADLINE_UNREACHABLE)
         choice = self._choose(call, tried)
         if isinstance(choice, NoTarget):
             return self._refuse(call, choice)
--- a/merlintrail/node/_environment.py
+++ b/merlintrail/node/_environment.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from merlintrail.coordination import Store
-from merlintrail.protocol import Dialect, OwnDialect
+from merlintrail.protocol import Dialect, NativeDialect
 from merlintrail.transport import ConnectionPool, create_pool
 
 
@@ -21,7 +21,7 @@
     #: Creates pools of connections to nodes and backend servers.
     create_pool: Callable[[], ConnectionPool] = create_pool
     #: Contract with callers and backend servers.
-    dialect: Dialect = OwnDialect()
+    dialect: Dialect = NativeDialect()
 
 
 def split_host_port(address: str) -> tuple[str, int]:
@@ -39,5 +39,5 @@
         time.monotonic,
         time.time,
         random.Random(os.urandom(16)),
-        dialect=dialect or OwnDialect(),
+        dialect=dialect or NativeDialect(),
     )
--- a/merlintrail/node/_exchange.py
+++ b/merlintrail/node/_exchange.py
@@ -18,7 +18,7 @@
     Reason,
     Refusal,
     decode_record,
-    encode_fields,
+    encode_header_record,
 )
 from merlintrail.state import Member
 from merlintrail.transport import (
@@ -26,7 +26,7 @@
     ConnectionPool,
     FailureStage,
     HttpResponse,
-    Patience,
+    ExchangeTimeouts,
     TransportFailure,
 )
 
@@ -93,9 +93,11 @@
 
         remaining_s = max(0.0, call.deadline - self._clock())
         slow_s = max(MIN_PATIENCE_S, usual_s * PATIENCE_FACTOR)
-        patience = Patience(remaining_s, min(slow_s, remaining_s), start_watch)
+        timeouts = ExchangeTimeouts(
+            remaining_s, min(slow_s, remaining_s), start_watch
+        )
         try:
-            answer = await self._exchange(member, header, call, patience)
+            answer = await self._exchange(member, header, call, timeouts)
         finally:
             if watch.task is not None:
                 watch.task.cancel()
@@ -112,17 +114,17 @@
         member: Member,
         header: CallHeader,
         call: OutgoingCall,
-        patience: Patience,
+        timeouts: ExchangeTimeouts,
     ) -> HttpResponse | TransportFailure:
         return await self._pool.exchange(
             member.peer_address,
             call.method,
             call.target,
             build_call_headers(
-                call.headers, encode_fields(header), self._fleet_key
+                call.headers, encode_header_record(header), self._fleet_key
             ),
             call.body,
-            patience=patience,
+            timeouts=timeouts,
         )
 
     async def _watch(
@@ -135,7 +137,7 @@
     ) -> None:
         """Ask for a slow call until there is a verdict; then end the wait."""
         watch.verdict = await self._resolve(member, header, deadline)
-        connection.give_up('ended by an inquiry')
+        connection.abort_exchange('ended by an inquiry')
 
     async def _resolve(
         self, member: Member, header: CallHeader, deadline: float
--- a/merlintrail/node/_gatekeeper.py
+++ b/merlintrail/node/_gatekeeper.py
@@ -224,7 +224,7 @@
             self.is_draining or (gate is not None and gate.backend.is_draining),
             not (parent.has_failed_below and (is_refused or parent.has_failed)),
             is_failure=parent.has_failed,
-            calls_below=parent.calls_below,
+            nested_calls=parent.nested_calls,
         )
 
     def _record(self, header: CallHeader, gate_result: GateResult) -> None:
--- a/merlintrail/node/_ingress.py
+++ b/merlintrail/node/_ingress.py
@@ -135,7 +135,7 @@
         if parent is not None:
             call = self._build_child(arrival, resolution, parent)
             return await self._serve_child(call, parent)
-        if headers.context is not None and headers.is_context_certain:
+        if headers.context is not None and headers.must_resolve_context:
             return Refusal(
                 Outcome.NOT_RUN,
                 Reason.UNKNOWN_CONTEXT,
@@ -205,7 +205,7 @@
         finally:
             parent.leave_child(self._clock())
         parent.account.restore(share, child.account.balance)
-        parent.calls_below += call_result.calls
+        parent.nested_calls += call_result.calls
         parent.path_levels = merge_levels(
             parent.path_levels, call_result.path_levels
         )
@@ -239,7 +239,7 @@
         self, call: OutgoingCall, parent: ParentCall
     ) -> Refusal | None:
         if call.depth > MAX_DEPTH:
-            return Refusal(Outcome.NOT_RUN, Reason.TOO_DEEP)
+            return Refusal(Outcome.NOT_RUN, Reason.CALL_CHAIN_TOO_DEEP)
         if call.request_id != parent.header.request_id:
             # The backend server tells its calls apart by identifiers.
             return None
@@ -247,7 +247,7 @@
         if digest in parent.digests and not parent.account.spend():
             return Refusal(
                 Outcome.NOT_RUN,
-                Reason.REPEATED_CALL,
+                Reason.RETRY_ACCOUNT_EMPTY,
                 'the same call was made before and no retry is left',
             )
         parent.digests.add(digest)
@@ -267,7 +267,7 @@
             resolution.service,
             request.method,
             resolution.target,
-            self._parts.dialect.list_forwarded(request),
+            self._parts.dialect.list_forwarded_headers(request),
             request.body,
             compute_priority(kind.importance, arrival.request_id),
             kind.is_idempotent,
--- a/merlintrail/node/_progress.py
+++ b/merlintrail/node/_progress.py
@@ -27,7 +27,7 @@
         """Take what came of an attempt."""
         answer = gate_result.answer
         self.attempts = self.attempts.add(gate_result)
-        self.calls += 1 + gate_result.report.calls_below
+        self.calls += 1 + gate_result.report.nested_calls
         if isinstance(answer, Refusal):
             self.take_refusal(answer, is_sent=True)
             if answer.reason == Reason.TOMBSTONE:
--- a/merlintrail/node/_retry_policy.py
+++ b/merlintrail/node/_retry_policy.py
@@ -22,7 +22,7 @@
 _ELSEWHERE: Final = frozenset(
     (
         Reason.OVERLOAD,
-        Reason.DEADLINE,
+        Reason.DEADLINE_UNREACHABLE,
         Reason.DRAINING,
         Reason.PLANNED_STOP,
         Reason.NO_BACKEND_SERVER,
@@ -33,7 +33,7 @@
         Reason.STALE_INCARNATION,
         Reason.TOMBSTONE,
         Reason.NO_CONFIGURATION,
-        Reason.SUSPECT_BUSY,
+        Reason.SUSPECT_ALREADY_RUNNING,
     )
 )
 #: Reasons of calls that a backend server was handed and did not run.
@@ -115,7 +115,7 @@
         if is_hopeless:
             return RetryDecision.HOPELESS
         answer = gate_result.answer
-        cost = 1.0 + gate_result.report.calls_below
+        cost = 1.0 + gate_result.report.nested_calls
         has_attempt = call.attempts is None or made.handed < call.attempts
         is_proved = False
         if isinstance(answer, Refusal):
--- a/merlintrail/node/tests/fake_network.py
+++ b/merlintrail/node/tests/fake_network.py
@@ -12,7 +12,7 @@
     HeaderList,
     HttpRequest,
     HttpResponse,
-    Patience,
+    ExchangeTimeouts,
     RequestHandler,
     TransportFailure,
 )
@@ -52,7 +52,7 @@
         self._task = task
         self._is_ended = False
 
-    def give_up(self, reason: str) -> None:
+    def abort_exchange(self, reason: str) -> None:
         """End the exchange."""
         self._is_ended = True
         self._task.cancel()
@@ -84,14 +84,14 @@
         *,
         is_fresh: bool = False,
         timeout_s: float | None = None,
-        patience: Patience | None = None,
+        timeouts: ExchangeTimeouts | None = None,
         accepts: Callable[[HttpResponse], bool] | None = None,
     ) -> HttpResponse | TransportFailure:
         """Pass a request to the handler at the address."""
         request = HttpRequest(method, target, dict(headers), body, '127.0.0.1')
-        if patience is not None:
+        if timeouts is not None:
             return await self._exchange_patiently(
-                address, request, is_fresh, patience
+                address, request, is_fresh, timeouts
             )
         try:
             async with asyncio.timeout(timeout_s):
@@ -115,7 +115,7 @@
         address: str,
         request: HttpRequest,
         is_fresh: bool,
-        patience: Patience,
+        timeouts: ExchangeTimeouts,
     ) -> HttpResponse | TransportFailure:
         """Exchange; tell when it is slow, and let that end it."""
         loop = asyncio.get_running_loop()
@@ -123,7 +123,7 @@
             loop.create_task(self._deliver(address, request, is_fresh))
         )
         timer = loop.call_later(
-            patience.is_slow_after_s or 0, patience.on_slow, connection
+            timeouts.slow_after_s or 0, timeouts.on_slow, connection
         )
         try:
             return await connection.wait()
--- a/merlintrail/node/tests/session.py
+++ b/merlintrail/node/tests/session.py
@@ -13,7 +13,7 @@
 from merlintrail.node._backend import Announcement
 from merlintrail.node.tests.fake_network import FakeNetwork, FakePool
 from merlintrail.observability import JsonLinesHandler, do_deferred
-from merlintrail.protocol import CONTEXT_HEADER, Dialect, OwnDialect
+from merlintrail.protocol import CONTEXT_HEADER, Dialect, NativeDialect
 from merlintrail.state import Envelope
 from merlintrail.transport import HttpRequest, HttpResponse
 
@@ -61,7 +61,7 @@
         names: Sequence[str],
         dialect: Dialect | None = None,
     ) -> None:
-        self._dialect = dialect or OwnDialect()
+        self._dialect = dialect or NativeDialect()
         self._loop = asyncio.get_running_loop()
         self._started_at = self._loop.time()
         self._log = io.StringIO()
--- a/merlintrail/platform/_dialect.py
+++ b/merlintrail/platform/_dialect.py
@@ -5,12 +5,12 @@
 from typing import Final
 
 from merlintrail.protocol import (
-    FORWARDED_DROP,
+    HOP_BY_HOP_HEADERS,
     INTERNAL_PREFIX,
     REASON_HEADER,
     BackendLoad,
-    BackendTerms,
-    BackendVerdict,
+    CallMetadata,
+    AnswerClass,
     CallerHeaders,
     Dialect,
     Outcome,
@@ -82,10 +82,10 @@
             key=None,
             findings=tuple(findings),
             request_id=attempt_id,
-            is_context_certain=False,
+            must_resolve_context=False,
         )
 
-    def list_forwarded(self, request: HttpRequest) -> HeaderList:
+    def list_forwarded_headers(self, request: HttpRequest) -> HeaderList:
         """Return all headers but those of the hop and what the node sets."""
         return [
             (name, text)
@@ -100,32 +100,32 @@
                 return text
         return create_id(source)
 
-    def list_backend_headers(self, terms: BackendTerms) -> HeaderList:
+    def list_backend_headers(self, metadata: CallMetadata) -> HeaderList:
         """Return timeout, expected identity and the caller's service."""
-        timeout_ms = max(1, int(terms.remaining_s * _MS_PER_S))
+        timeout_ms = max(1, int(metadata.remaining_s * _MS_PER_S))
         headers = [
             (_TIMEOUT, str(timeout_ms)),
-            (_CALLER_SERVICE, terms.caller_service),
+            (_CALLER_SERVICE, metadata.caller_service),
         ]
-        if terms.identity is not None:
-            headers.append((_EXPECTED_IDENTITY, terms.identity))
+        if metadata.identity is not None:
+            headers.append((_EXPECTED_IDENTITY, metadata.identity))
         return headers
 
-    def judge_answer(self, token: str, answer: HttpResponse) -> BackendVerdict:
+    def classify_answer(self, token: str, answer: HttpResponse) -> AnswerClass:
         """Tell what an answer is by its echo, its receipt and its status."""
         echo = answer.find_header(_ATTEMPT_ID)
         if echo is not None and echo != token:
-            return BackendVerdict.FOREIGN
+            return AnswerClass.FOREIGN
         if answer.status == _MISDIRECTED_STATUS:
-            return BackendVerdict.MISDIRECTED
+            return AnswerClass.MISDIRECTED
         if answer.find_header(_NOT_RUN) is not None:
-            return BackendVerdict.NOT_RUN
+            return AnswerClass.NOT_RUN
         if answer.status >= _FIRST_SERVER_ERROR:
-            return BackendVerdict.FAILED
+            return AnswerClass.FAILED
         is_success = answer.status in _SUCCESS
         if is_success and (echo is None or not answer.find_header(_RECEIPT)):
-            return BackendVerdict.FOREIGN
-        return BackendVerdict.ANSWERED
+            return AnswerClass.FOREIGN
+        return AnswerClass.ANSWERED
 
     def read_load(self, answer: HttpResponse) -> BackendLoad | None:
         """Read running, waiting and slots."""
@@ -175,4 +175,6 @@
 
 
 def _is_forwarded(name: str) -> bool:
-    return name not in FORWARDED_DROP and not name.startswith(INTERNAL_PREFIX)
+    return name not in HOP_BY_HOP_HEADERS and not name.startswith(
+        INTERNAL_PREFIX
+    )
--- a/merlintrail/platform/tests/test_adapter.py
+++ b/merlintrail/platform/tests/test_adapter.py
@@ -20,8 +20,8 @@
 )
 from merlintrail.platform.tests.samples import CONTENT, SETTINGS
 from merlintrail.protocol import (
-    BackendTerms,
-    BackendVerdict,
+    CallMetadata,
+    AnswerClass,
     Outcome,
     Reason,
     Refusal,
@@ -36,25 +36,25 @@
 _ECHO: Final = ('attempt-id', _TOKEN)
 _RECEIPT: Final = ('response-seal', '3e1b.07')
 _VERDICTS: Final = (
-    ('success', 200, (_ECHO, _RECEIPT), BackendVerdict.ANSWERED),
-    ('not found there', 404, (_ECHO, _RECEIPT), BackendVerdict.ANSWERED),
-    ('no receipt', 200, (_ECHO,), BackendVerdict.FOREIGN),
-    ('no echo', 200, (_RECEIPT,), BackendVerdict.FOREIGN),
+    ('success', 200, (_ECHO, _RECEIPT), AnswerClass.ANSWERED),
+    ('not found there', 404, (_ECHO, _RECEIPT), AnswerClass.ANSWERED),
+    ('no receipt', 200, (_ECHO,), AnswerClass.FOREIGN),
+    ('no echo', 200, (_RECEIPT,), AnswerClass.FOREIGN),
     (
         'echo of another',
         200,
         (('attempt-id', 'other'), _RECEIPT),
-        BackendVerdict.FOREIGN,
+        AnswerClass.FOREIGN,
     ),
-    ('failed', 500, (_ECHO, _RECEIPT), BackendVerdict.FAILED),
-    ('timed out', 504, (_ECHO, _RECEIPT), BackendVerdict.FAILED),
-    ('shed', 503, (('not-executed', '1'),), BackendVerdict.NOT_RUN),
-    ('unproved', 503, (_ECHO,), BackendVerdict.FAILED),
-    ('another server', 421, (), BackendVerdict.MISDIRECTED),
+    ('failed', 500, (_ECHO, _RECEIPT), AnswerClass.FAILED),
+    ('timed out', 504, (_ECHO, _RECEIPT), AnswerClass.FAILED),
+    ('shed', 503, (('not-executed', '1'),), AnswerClass.NOT_RUN),
+    ('unproved', 503, (_ECHO,), AnswerClass.FAILED),
+    ('another server', 421, (), AnswerClass.MISDIRECTED),
 )
 _STATUSES: Final = (
     (Outcome.NOT_RUN, Reason.OVERLOAD, 503),
-    (Outcome.NOT_RUN, Reason.DEADLINE, 503),
+    (Outcome.NOT_RUN, Reason.DEADLINE_UNREACHABLE, 503),
     (Outcome.NOT_RUN, Reason.QUARANTINED, 503),
     (Outcome.NOT_RUN, Reason.NO_CONFIGURATION, 503),
     (Outcome.NOT_RUN, Reason.UNKNOWN_SERVICE, 404),
@@ -111,7 +111,9 @@
         for name, status, headers, verdict in _VERDICTS:
             with self.subTest(name):
                 answer = HttpResponse(status, headers, b'')
-                self.assertEqual(_DIALECT.judge_answer(_TOKEN, answer), verdict)
+                self.assertEqual(
+                    _DIALECT.classify_answer(_TOKEN, answer), verdict
+                )
 
     def test_statuses_promise_only_what_is_proved(self) -> None:
         """503, 404 and 400 for what did not run, 502 and 504 for the rest."""
@@ -126,7 +128,7 @@
 
     def test_what_callers_forge_goes_no_further(self) -> None:
         """Timeout, expected identity and caller's service are the node's."""
-        forwarded = _DIALECT.list_forwarded(
+        forwarded = _DIALECT.list_forwarded_headers(
             _request(
                 host='h',
                 attempt_id=_TOKEN,
@@ -142,9 +144,9 @@
             dict(forwarded),
             {'host': 'h', 'attempt-id': _TOKEN, 'x-other': 'kept'},
         )
-        terms = BackendTerms(_TOKEN, 1.2345, 'i-2', 'vault')
+        metadata = CallMetadata(_TOKEN, 1.2345, 'i-2', 'vault')
         self.assertEqual(
-            dict(_DIALECT.list_backend_headers(terms)),
+            dict(_DIALECT.list_backend_headers(metadata)),
             {
                 'timeout-ms': '1234',
                 'caller-service': 'vault',
@@ -161,7 +163,7 @@
             (read.request_id, read.deadline_ms, read.context),
             ('abc.1.def', 700, 'abc.1'),
         )
-        self.assertFalse(read.is_context_certain)
+        self.assertFalse(read.must_resolve_context)
         for text in ('', '-5', '1.5', 'soon', '0'):
             with self.subTest(text):
                 faulty = _DIALECT.read_caller(_request(timeout_ms=text))
--- a/merlintrail/protocol/_call.py
+++ b/merlintrail/protocol/_call.py
@@ -67,10 +67,10 @@
     #: Whether the backend server's own answer says that it failed.
     is_failure: bool = False
     #: Calls made below this one, over its whole tree.
-    calls_below: int = 0
+    nested_calls: int = 0
 
 
-def encode_fields(record: CallHeader | CallReport) -> str:
+def encode_header_record(record: CallHeader | CallReport) -> str:
     """Encode a header record as a JSON array in the order of its fields.
 
     Fields are only ever added at the end, with a default; those at the end
--- a/merlintrail/protocol/_dialect.py
+++ b/merlintrail/protocol/_dialect.py
@@ -9,7 +9,7 @@
 from merlintrail.protocol._headers import (
     CONTEXT_HEADER,
     DEADLINE_HEADER,
-    FORWARDED_DROP,
+    HOP_BY_HOP_HEADERS,
     INTERNAL_PREFIX,
     LOAD_HEADER,
     OUTCOME_HEADER,
@@ -30,7 +30,7 @@
 _MS_PER_S: Final = 1000
 
 
-class BackendTerms(NamedTuple):
+class CallMetadata(NamedTuple):
     """What a backend server is told of a call."""
 
     #: Stands for the call in the calls that the backend server makes.
@@ -43,7 +43,7 @@
     caller_service: str
 
 
-class BackendVerdict(enum.Enum):
+class AnswerClass(enum.Enum):
     """What an answer of a backend server is."""
 
     #: Its answer to the call.
@@ -92,22 +92,22 @@
         """Read what a caller says; every fault becomes a finding."""
 
     @abc.abstractmethod
-    def list_forwarded(self, request: HttpRequest) -> HeaderList:
+    def list_forwarded_headers(self, request: HttpRequest) -> HeaderList:
         """Return the headers of a request that go on to the backend server."""
 
     @abc.abstractmethod
-    def create_token(self, headers: HeaderList, source: random.Random) -> str:
+    def create_token(self, headers: HeaderList, rng: random.Random) -> str:
         """Return the token that stands for a call at its backend server.
 
         :param headers: the headers that go to the backend server.
         """
 
     @abc.abstractmethod
-    def list_backend_headers(self, terms: BackendTerms) -> HeaderList:
+    def list_backend_headers(self, metadata: CallMetadata) -> HeaderList:
         """Return the headers that tell a backend server the terms."""
 
     @abc.abstractmethod
-    def judge_answer(self, token: str, answer: HttpResponse) -> BackendVerdict:
+    def classify_answer(self, token: str, answer: HttpResponse) -> AnswerClass:
         """Tell what a backend server's answer to a call is."""
 
     @abc.abstractmethod
@@ -125,14 +125,14 @@
         """Build the answer that tells a caller of a refusal."""
 
 
-class OwnDialect(Dialect):
+class NativeDialect(Dialect):
     """The contract of docs/INTERFACE.md."""
 
     def read_caller(self, request: HttpRequest) -> CallerHeaders:
         """Read the headers of the contract."""
         return read_caller_headers(request.headers)
 
-    def list_forwarded(self, request: HttpRequest) -> HeaderList:
+    def list_forwarded_headers(self, request: HttpRequest) -> HeaderList:
         """Return all headers but those of the hop and our own."""
         return [
             (name, text)
@@ -140,25 +140,25 @@
             if _is_forwarded(name)
         ]
 
-    def create_token(self, headers: HeaderList, source: random.Random) -> str:
+    def create_token(self, headers: HeaderList, rng: random.Random) -> str:
         """Return a random token that nobody can guess."""
-        return create_id(source)
+        return create_id(rng)
 
-    def list_backend_headers(self, terms: BackendTerms) -> HeaderList:
+    def list_backend_headers(self, metadata: CallMetadata) -> HeaderList:
         """Return context and deadline."""
-        remaining_ms = max(1, int(terms.remaining_s * _MS_PER_S))
+        remaining_ms = max(1, int(metadata.remaining_s * _MS_PER_S))
         return (
-            (CONTEXT_HEADER, terms.token),
+            (CONTEXT_HEADER, metadata.token),
             (DEADLINE_HEADER, str(remaining_ms)),
         )
 
-    def judge_answer(self, token: str, answer: HttpResponse) -> BackendVerdict:
+    def classify_answer(self, token: str, answer: HttpResponse) -> AnswerClass:
         """Tell a shed call by its status, the proof by the outcome."""
         if answer.status != _SHED_STATUS:
-            return BackendVerdict.ANSWERED
+            return AnswerClass.ANSWERED
         if answer.find_header(OUTCOME_HEADER) == Outcome.NOT_RUN:
-            return BackendVerdict.NOT_RUN
-        return BackendVerdict.SHED
+            return AnswerClass.NOT_RUN
+        return AnswerClass.SHED
 
     def read_load(self, answer: HttpResponse) -> BackendLoad | None:
         """Read the load header."""
@@ -168,7 +168,7 @@
         self, answer: HttpResponse, request_id: str
     ) -> HttpResponse:
         """Add the outcome and the identifier of the request."""
-        headers = list_returned(answer)
+        headers = list_returned_headers(answer)
         headers.append((OUTCOME_HEADER, Outcome.COMPLETED.value))
         headers.append((REQUEST_ID_HEADER, request_id))
         return HttpResponse(answer.status, headers, answer.body)
@@ -179,10 +179,12 @@
 
 
 def _is_forwarded(name: str) -> bool:
-    return name not in FORWARDED_DROP and not name.startswith(INTERNAL_PREFIX)
+    return name not in HOP_BY_HOP_HEADERS and not name.startswith(
+        INTERNAL_PREFIX
+    )
 
 
-def list_returned(answer: HttpResponse) -> list[tuple[str, str]]:
+def list_returned_headers(answer: HttpResponse) -> list[tuple[str, str]]:
     """Return the headers of an answer that go back to the caller."""
     return [
         (name, text) for name, text in answer.headers if _is_forwarded(name)
--- a/merlintrail/protocol/_headers.py
+++ b/merlintrail/protocol/_headers.py
@@ -27,7 +27,7 @@
 #: Key by which a resend of a non-idempotent request is recognised.
 IDEMPOTENCY_KEY_HEADER: Final = 'idempotency-key'
 #: Headers that end at each hop.
-FORWARDED_DROP: Final = frozenset(
+HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         'connection',
         'content-length',
@@ -55,7 +55,7 @@
     #: Identifier that the caller gave its request, if callers give one.
     request_id: str | None = None
     #: Whether the context must stand for a running call.
-    is_context_certain: bool = True
+    must_resolve_context: bool = True
 
 
 def _read_deadline(text: str, findings: list[str]) -> float | None:
--- a/merlintrail/protocol/_identity.py
+++ b/merlintrail/protocol/_identity.py
@@ -10,9 +10,9 @@
 _MS_PER_S: Final = 1000
 
 
-def create_id(source: random.Random) -> str:
+def create_id(rng: random.Random) -> str:
     """Create a random identifier of 24 hexadecimal digits."""
-    return f'{source.getrandbits(_ID_BITS):024x}'
+    return f'{rng.getrandbits(_ID_BITS):024x}'
 
 
 def read_key_age_s(key: str, wall_time_s: float) -> float | None:
--- a/merlintrail/protocol/_outcome.py
+++ b/merlintrail/protocol/_outcome.py
@@ -29,7 +29,7 @@
 
     OVERLOAD = 'overload'
     SHED_EARLY = 'shed-early'
-    DEADLINE = 'deadline-unreachable'
+    DEADLINE_UNREACHABLE = 'deadline-unreachable'
     DEADLINE_PASSED = 'deadline-passed'
     DRAINING = 'draining'
     PLANNED_STOP = 'planned-stop'
@@ -39,12 +39,12 @@
     UNKNOWN_CONTEXT = 'unknown-context'
     BAD_REQUEST = 'bad-request'
     QUARANTINED = 'quarantined'
-    SUSPECT_BUSY = 'suspect-already-running'
+    SUSPECT_ALREADY_RUNNING = 'suspect-already-running'
     PARENT_ENDED = 'parent-ended'
     TOMBSTONE = 'tombstone'
     STALE_INCARNATION = 'stale-incarnation'
     DUPLICATE_CALL = 'duplicate-call'
-    REPEATED_CALL = 'retry-account-empty'
+    RETRY_ACCOUNT_EMPTY = 'retry-account-empty'
     BACKEND_REFUSED = 'backend-server-refused'
     BACKEND_LOST = 'backend-server-lost'
     BACKEND_DISPLACED = 'backend-server-displaced'
@@ -56,11 +56,11 @@
     KEY_REUSED = 'key-for-another-request'
     LEDGER_UNAVAILABLE = 'ledger-unavailable'
     LEDGER_MOVED = 'ledger-owner-moved'
-    TOO_DEEP = 'call-chain-too-deep'
+    CALL_CHAIN_TOO_DEEP = 'call-chain-too-deep'
 
 
 _STATUSES: Final = {
-    Reason.DEADLINE: 504,
+    Reason.DEADLINE_UNREACHABLE: 504,
     Reason.DEADLINE_PASSED: 504,
     Reason.UNKNOWN_SERVICE: 404,
     Reason.UNKNOWN_CONTEXT: 400,
@@ -73,7 +73,7 @@
     Reason.KEY_IN_USE: 409,
     Reason.KEY_EXECUTED: 409,
     Reason.KEY_REUSED: 422,
-    Reason.TOO_DEEP: 508,
+    Reason.CALL_CHAIN_TOO_DEEP: 508,
 }
 _DEFAULT_STATUS: Final = 503
 _STATUSES_TO_RETRY: Final = frozenset((409, 502, 503, 504))
--- a/merlintrail/state/_admission.py
+++ b/merlintrail/state/_admission.py
@@ -183,7 +183,7 @@
             if wait_s > 0:
                 self.shedder.record_overflow()
                 self._give_up_lesser(claim)
-            return self._refuse(Reason.DEADLINE)
+            return self._refuse(Reason.DEADLINE_UNREACHABLE)
         level = self.shedder.read_level(now)
         is_free = self.running < self.limit.limit and not self.queued
         if claim.is_below or is_free:
@@ -276,7 +276,7 @@
         if not call.decision.done():
             self._remove(call)
             self.shedder.record_overflow()
-            call.decision.set_result(self._refuse(Reason.DEADLINE))
+            call.decision.set_result(self._refuse(Reason.DEADLINE_UNREACHABLE))
 
     def _abandon(self, call: QueuedCall) -> None:
         if call.decision.done() and not call.decision.cancelled():
--- a/merlintrail/state/tests/test_admission.py
+++ b/merlintrail/state/tests/test_admission.py
@@ -80,7 +80,7 @@
 
         refusal, waited_s = run_virtually(scenario())
         assert refusal is not None
-        self.assertEqual(refusal.reason, Reason.DEADLINE)
+        self.assertEqual(refusal.reason, Reason.DEADLINE_UNREACHABLE)
         self.assertEqual(waited_s, 0)
 
     def test_cancelled_call_frees_its_place(self) -> None:
--- a/merlintrail/transport/__init__.py
+++ b/merlintrail/transport/__init__.py
@@ -4,7 +4,7 @@
 from merlintrail.transport._client import (
     TIMEOUT,
     ClientConnection,
-    Patience,
+    ExchangeTimeouts,
 )
 from merlintrail.transport._failure import FailureStage, TransportFailure
 from merlintrail.transport._message import (
@@ -32,7 +32,7 @@
     'HttpRequest',
     'HttpResponse',
     'HttpServer',
-    'Patience',
+    'ExchangeTimeouts',
     'RequestHandler',
     'ServerLimits',
     'TransportFailure',
--- a/merlintrail/transport/_client.py
+++ b/merlintrail/transport/_client.py
@@ -23,14 +23,14 @@
     """Wait on."""
 
 
-class Patience(NamedTuple):
+class ExchangeTimeouts(NamedTuple):
     """How long to wait for an answer."""
 
     #: Seconds after which connecting and, unless ``on_slow`` takes over, the
     #: exchange fails; ``None`` for no limit.
     timeout_s: float | None = None
     #: Seconds after which ``on_slow`` is called instead of the timeout.
-    is_slow_after_s: float | None = None
+    slow_after_s: float | None = None
     on_slow: 'Callable[[ClientConnection], None]' = _ignore_slowness
 
 
@@ -66,7 +66,7 @@
         self._reset_message()
 
     async def exchange(
-        self, method: str, payload: bytes, patience: Patience
+        self, method: str, payload: bytes, timeouts: ExchangeTimeouts
     ) -> HttpResponse | TransportFailure:
         """Send an encoded request and await the whole answer.
 
@@ -78,7 +78,7 @@
         self._reset_message()
         self._answer = self._loop.create_future()
         self._transport.write(payload)
-        timer = self._start_timer(patience)
+        timer = self._start_timer(timeouts)
         try:
             return await self._answer
         except asyncio.CancelledError:
@@ -98,7 +98,7 @@
         """Seconds since the connection was marked idle."""
         return self._loop.time() - self._idle_since
 
-    def give_up(self, reason: str) -> None:
+    def abort_exchange(self, reason: str) -> None:
         """Fail the exchange in progress and close the connection."""
         self._fail(reason)
         self.close()
@@ -186,14 +186,14 @@
             self.is_reusable = False
         self._finish(status)
 
-    def _start_timer(self, patience: Patience) -> Timer | None:
-        if patience.is_slow_after_s is not None:
+    def _start_timer(self, timeouts: ExchangeTimeouts) -> Timer | None:
+        if timeouts.slow_after_s is not None:
             return self._timers.call_later(
-                patience.is_slow_after_s, patience.on_slow, self
+                timeouts.slow_after_s, timeouts.on_slow, self
             )
-        if patience.timeout_s is not None:
+        if timeouts.timeout_s is not None:
             return self._timers.call_later(
-                patience.timeout_s, self.give_up, TIMEOUT
+                timeouts.timeout_s, self.abort_exchange, TIMEOUT
             )
         return None
 
--- a/merlintrail/transport/_pool.py
+++ b/merlintrail/transport/_pool.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from merlintrail.transport._client import ClientConnection, Patience
+from merlintrail.transport._client import ClientConnection, ExchangeTimeouts
 from merlintrail.transport._failure import FailureStage, TransportFailure
 from merlintrail.transport._message import (
     HeaderList,
@@ -60,7 +60,7 @@
         *,
         is_fresh: bool = False,
         timeout_s: float | None = None,
-        patience: Patience | None = None,
+        timeouts: ExchangeTimeouts | None = None,
         accepts: Callable[[HttpResponse], bool] | None = None,
     ) -> HttpResponse | TransportFailure:
         """Send one request and return the whole answer or the failure.
@@ -71,10 +71,10 @@
         :param accepts: tells whether the answer belongs to the request.
         :param patience: in place of the timeout, what to do when slow.
         """
-        patience = patience or Patience(timeout_s)
+        timeouts = timeouts or ExchangeTimeouts(timeout_s)
         connection = None if is_fresh else self._take_idle(address)
         if connection is None:
-            connected = await self._connect(address, patience.timeout_s)
+            connected = await self._connect(address, timeouts.timeout_s)
             if isinstance(connected, TransportFailure):
                 return connected
             connection = connected
@@ -82,7 +82,7 @@
             method, target, _add_host(headers, address), body
         )
         self.bytes_sent += len(payload)
-        answer = await connection.exchange(method, payload, patience)
+        answer = await connection.exchange(method, payload, timeouts)
         if isinstance(answer, HttpResponse):
             self.bytes_received += len(answer.body)
             if accepts is not None and not accepts(answer):
--- a/merlintrail/transport/tests/test_client.py
+++ b/merlintrail/transport/tests/test_client.py
@@ -11,7 +11,7 @@
     ConnectionPool,
     FailureStage,
     HttpResponse,
-    Patience,
+    ExchangeTimeouts,
     TransportFailure,
     create_pool,
 )
@@ -236,7 +236,12 @@
         with mock.patch(limit, 3600):
             async with asyncio.timeout(30):
                 answer = await self.pool.exchange(
-                    address, 'GET', '/', (), b'', patience=Patience(0.05)
+                    address,
+                    'GET',
+                    '/',
+                    (),
+                    b'',
+                    timeouts=ExchangeTimeouts(0.05),
                 )
         assert isinstance(answer, TransportFailure)
         self.assertEqual(answer.stage, FailureStage.CONNECT)
