--- a/merlintrail/protocol/__init__.py
+++ b/merlintrail/protocol/__init__.py
@@ -1,4 +1,4 @@
-"""Headers, outcomes and typed messages, with their codecs."""
+"""Headers, outcomes and typed messages, with their encoding and decoding."""
 
 from merlintrail.protocol._call import (
     CallHeader,
@@ -14,9 +14,9 @@
     encode_json,
 )
 from merlintrail.protocol._dialect import (
+    AnswerClass,
     BackendLoad,
     CallMetadata,
-    AnswerClass,
     Dialect,
     NativeDialect,
     list_returned_headers,
@@ -24,6 +24,7 @@
 )
 from merlintrail.protocol._durations import parse_duration
 from merlintrail.protocol._headers import (
+    CALL_HEADER,
     CONTEXT_HEADER,
     DEADLINE_HEADER,
     FLEET_KEY_HEADER,
@@ -34,7 +35,6 @@
     REASON_HEADER,
     REPORT_HEADER,
     REQUEST_ID_HEADER,
-    CALL_HEADER,
     CallerHeaders,
     read_caller_headers,
 )
@@ -68,10 +68,10 @@
     'REPORT_HEADER',
     'REQUEST_ID_HEADER',
     'SUBLEVELS',
-    'BackendLoad',
-    'CallMetadata',
     'AnswerClass',
+    'BackendLoad',
     'CallHeader',
+    'CallMetadata',
     'CallReport',
     'CallerHeaders',
     'DecodeFailure',
@@ -80,8 +80,8 @@
     'Inquiry',
     'InquiryAnswer',
     'InquiryState',
-    'Outcome',
     'NativeDialect',
+    'Outcome',
     'Reason',
     'Refusal',
     'build_refusal_response',
--- a/merlintrail/protocol/_call.py
+++ b/merlintrail/protocol/_call.py
@@ -1,80 +1,83 @@
-"""What nodes tell each other about a call, in one header each way."""
+"""Headers that nodes exchange with a call and with its answer."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
 
 from merlintrail.protocol._codec import (
     DecodeFailure,
+    decode_array_record,
     decode_json,
-    decode_positions,
     encode_json,
 )
 
 
 class CallHeader(NamedTuple):
-    """Sent with a call from node to node."""
+    """Header of a call from one node to another."""
 
     request_id: str
-    #: Identifier of this attempt, asked for in an inquiry.
+    #: Identifier of this attempt, by which an inquiry refers to it.
     call_id: str
-    #: Name of the request kind at the ingress, ``service/kind``.
+    #: Request kind assigned at the ingress, as ``service/kind``.
     kind: str
     priority: int
     is_idempotent: bool
-    #: Milliseconds left until the deadline.
+    #: Milliseconds until the deadline.
     deadline_ms: float
-    #: Retries that travel with the call.
+    #: Retries that the call and its nested calls may still make.
     retries: int
+    #: Number of the hop in the call chain, 1 at the ingress.
     depth: int
-    #: Incarnation of the node that the call is meant for.
+    #: Incarnation of the node to which the call is addressed.
     incarnation: int
     #: Identifier of the sending node.
     origin: str
     service: str
-    #: Idempotency key, for a call to the owner of its ledger slot.
+    #: Idempotency key, in a call to the owner of its ledger slot.
     key: str | None = None
     #: Suspicion against the request, as the fields of ``Suspicion``.
     suspicion: Sequence[Any] | None = None
-    #: Service of the instance at which the call began.
+    #: Service of the instance at which the call originated.
     caller_service: str = ''
-    #: Milliseconds within which an answer is worth most, if stated.
+    #: Latency objective in milliseconds, ``None`` without one.
     objective_ms: float | None = None
 
 
 class CallReport(NamedTuple):
-    """Returned with the answer to a call."""
+    """Header of the answer to a call between nodes."""
 
     call_id: str
     #: Value of :class:`Outcome`.
     outcome: str
     #: Value of :class:`Reason`, empty for a completed call.
     reason: str
-    #: Retries that come back unspent.
+    #: Unspent retries, returned to the sender.
     retries: int
-    #: Shedding level of the backend server: lower priorities are refused.
+    #: Shedding level of the backend server: calls of a lower priority are
+    #: refused.
     level: int
-    #: Shedding levels of services further down, by name.
+    #: Shedding levels that nested calls met, by ``service@data_centre``.
     path_levels: Mapping[str, int]
-    #: Calls in flight and queued at the backend server.
+    #: Calls running or queued at the backend servers of the node.
     in_flight: int
     #: Mean service time in milliseconds.
     service_ms: float
     is_draining: bool
-    #: Whether another try elsewhere can help.
+    #: Whether a retry on another backend server may succeed. False if the
+    #: call and one of its nested calls have failed.
     may_retry: bool = True
     #: Suspicion against the request, as the fields of ``Suspicion``.
     suspicion: Sequence[Any] | None = None
-    #: Whether the backend server's own answer says that it failed.
+    #: Whether the backend server's own answer reports a failure.
     is_failure: bool = False
-    #: Calls made below this one, over its whole tree.
+    #: Number of nested calls, over the whole call tree.
     nested_calls: int = 0
 
 
 def encode_header_record(record: CallHeader | CallReport) -> str:
     """Encode a header record as a JSON array in the order of its fields.
 
-    Fields are only ever added at the end, with a default; those at the end
-    that have it are left out.
+    New fields are only added at the end, with a default. Trailing fields
+    that equal their default are omitted.
     """
     fields = list(record)
     defaults = list(record._field_defaults.values())
@@ -84,10 +87,10 @@
 
 
 def decode_call_header(text: str) -> CallHeader | DecodeFailure:
-    """Decode the call header."""
-    return decode_positions(CallHeader, decode_json(text))
+    """Decode the value of the call header."""
+    return decode_array_record(CallHeader, decode_json(text))
 
 
 def decode_call_report(text: str) -> CallReport | DecodeFailure:
-    """Decode the report header."""
-    return decode_positions(CallReport, decode_json(text))
+    """Decode the value of the report header."""
+    return decode_array_record(CallReport, decode_json(text))
--- a/merlintrail/protocol/_codec.py
+++ b/merlintrail/protocol/_codec.py
@@ -1,4 +1,4 @@
-"""JSON codecs for typed records."""
+"""JSON encoding and decoding of typed records."""
 
 from typing import Any, NamedTuple, TypeVar
 
@@ -8,7 +8,7 @@
 
 
 class DecodeFailure(NamedTuple):
-    """Sentinel in place of a record that could not be read."""
+    """Returned in place of a record that could not be decoded."""
 
     reason: str
 
@@ -20,9 +20,10 @@
 
 
 def encode_json(document: object) -> bytes:
-    """Encode a document with sorted keys, so that equal ones are equal bytes.
+    """Encode a document as JSON.
 
-    Named tuples become arrays.
+    Keys are sorted so that equal documents encode to equal bytes. Named
+    tuples are encoded as arrays.
     """
     return orjson.dumps(
         document, default=_encode_tuple, option=orjson.OPT_SORT_KEYS
@@ -30,7 +31,7 @@
 
 
 def decode_json(text: bytes | str) -> Any:
-    """Decode any JSON text.
+    """Decode a JSON text.
 
     :returns: the document, or a :class:`DecodeFailure`.
     """
@@ -40,21 +41,20 @@
         return DecodeFailure(f'not JSON: {error}')
 
 
-def decode_positions(
+def decode_array_record(
     record_type: type[RecordT], document: object
 ) -> RecordT | DecodeFailure:
     """Build a ``NamedTuple`` from a JSON array in the order of its fields.
 
-    Entries beyond the known fields come from a later version and are
-    ignored.
+    Additional elements, as a later version may send, are ignored.
     """
     if isinstance(document, DecodeFailure):
         return document
     if not isinstance(document, list):
         return DecodeFailure(f'{record_type.__name__}: not an array')
-    known = document[: len(record_type.__annotations__)]
+    fields = document[: len(record_type.__annotations__)]
     try:
-        return record_type(*known)
+        return record_type(*fields)
     except TypeError as error:
         return DecodeFailure(f'{record_type.__name__}: {error}')
 
@@ -64,16 +64,16 @@
 ) -> RecordT | DecodeFailure:
     """Build a ``NamedTuple`` from a JSON object.
 
-    Fields that the type does not know are ignored, so that nodes of two
-    versions understand each other.
+    Unknown fields are ignored, so that nodes of different versions can
+    exchange records.
     """
     if isinstance(document, DecodeFailure):
         return document
     if not isinstance(document, dict):
         return DecodeFailure(f'{record_type.__name__}: not an object')
     names = record_type.__annotations__
-    known = {name: entry for name, entry in document.items() if name in names}
+    fields = {name: entry for name, entry in document.items() if name in names}
     try:
-        return record_type(**known)
+        return record_type(**fields)
     except TypeError as error:
         return DecodeFailure(f'{record_type.__name__}: {error}')
--- a/merlintrail/protocol/_dialect.py
+++ b/merlintrail/protocol/_dialect.py
@@ -1,4 +1,4 @@
-"""What callers and backend servers say in their headers, and are told."""
+"""Decoding and encoding of the headers of callers and backend servers."""
 
 import abc
 import enum
@@ -25,43 +25,44 @@
 )
 from merlintrail.transport import HeaderList, HttpRequest, HttpResponse
 
+#: Status with which a backend server sheds a call.
 _SHED_STATUS: Final = 503
-_LOAD: Final = re.compile('([0-9]{1,9}),([0-9]{1,9}),([0-9]{1,9})')
+_LOAD_PATTERN: Final = re.compile('([0-9]{1,9}),([0-9]{1,9}),([0-9]{1,9})')
 _MS_PER_S: Final = 1000
 
 
 class CallMetadata(NamedTuple):
-    """What a backend server is told of a call."""
+    """Properties of a call that are sent to the backend server."""
 
-    #: Stands for the call in the calls that the backend server makes.
+    #: Identifies the call in its nested calls.
     token: str
     #: Seconds until the answer is due.
     remaining_s: float
-    #: Identity that the backend server must have, if it has told one.
+    #: Expected identity of the backend server, ``None`` if it announced none.
     identity: str | None
-    #: Service of the instance at which the call began.
+    #: Service of the instance at which the call originated.
     caller_service: str
 
 
 class AnswerClass(enum.Enum):
-    """What an answer of a backend server is."""
+    """Classification of a backend server's answer to a call."""
 
-    #: Its answer to the call.
+    #: The answer completes the call.
     ANSWERED = 'answered'
-    #: Its answer, which says that the backend server failed.
+    #: The answer reports that the backend server failed.
     FAILED = 'failed'
-    #: It had no room; nothing says whether the call ran.
+    #: The backend server shed the call without stating whether it ran.
     SHED = 'shed'
-    #: It proved that the call did not run.
+    #: The backend server confirmed that the call did not run.
     NOT_RUN = 'not-run'
-    #: Another backend server has the address; the call did not run.
+    #: Another backend server has this address; the call did not run.
     MISDIRECTED = 'misdirected'
-    #: An answer to another call.
+    #: The answer does not belong to the call.
     FOREIGN = 'foreign'
 
 
 class BackendLoad(NamedTuple):
-    """What a backend server says of its load."""
+    """Load that a backend server reports."""
 
     running: int
     waiting: int
@@ -69,11 +70,11 @@
 
 
 def parse_load(text: str | None) -> BackendLoad | None:
-    """Read ``RUNNING,WAITING,SLOTS``.
+    """Parse a load of the form ``RUNNING,WAITING,SLOTS``.
 
-    :returns: ``None`` for another form.
+    :returns: ``None`` for text of another form.
     """
-    match = _LOAD.fullmatch(text or '')
+    match = _LOAD_PATTERN.fullmatch(text or '')
     if match is None:
         return None
     running, waiting, slots = match.groups()
@@ -81,59 +82,63 @@
 
 
 class Dialect(abc.ABC):
-    """Names and shapes of one contract with callers and backend servers.
+    """Header names and formats of a contract with callers and backend servers.
 
-    A dialect decides nothing: it decodes headers into typed values and
-    encodes typed values into headers.
+    A dialect makes no decisions about calls: it decodes headers into typed
+    values and encodes typed values into headers.
     """
 
     @abc.abstractmethod
     def read_caller(self, request: HttpRequest) -> CallerHeaders:
-        """Read what a caller says; every fault becomes a finding."""
+        """Decode the headers of a caller's request.
+
+        Each invalid header is reported as a finding.
+        """
 
     @abc.abstractmethod
     def list_forwarded_headers(self, request: HttpRequest) -> HeaderList:
-        """Return the headers of a request that go on to the backend server."""
+        """Return the request headers to forward to the backend server."""
 
     @abc.abstractmethod
     def create_token(self, headers: HeaderList, rng: random.Random) -> str:
-        """Return the token that stands for a call at its backend server.
+        """Return the token that identifies a call at its backend server.
 
-        :param headers: the headers that go to the backend server.
+        :param headers: the headers sent to the backend server.
+        :param rng: source of randomness for generated tokens.
         """
 
     @abc.abstractmethod
     def list_backend_headers(self, metadata: CallMetadata) -> HeaderList:
-        """Return the headers that tell a backend server the terms."""
+        """Encode the metadata of a call as headers for its backend server."""
 
     @abc.abstractmethod
     def classify_answer(self, token: str, answer: HttpResponse) -> AnswerClass:
-        """Tell what a backend server's answer to a call is."""
+        """Classify a backend server's answer to the call with that token."""
 
     @abc.abstractmethod
     def read_load(self, answer: HttpResponse) -> BackendLoad | None:
-        """Read the load that an answer tells."""
+        """Decode the load that a backend server reports in an answer."""
 
     @abc.abstractmethod
     def build_answer(
         self, answer: HttpResponse, request_id: str
     ) -> HttpResponse:
-        """Build the answer to a caller from a backend server's."""
+        """Build the answer to a caller from a backend server's answer."""
 
     @abc.abstractmethod
     def build_refusal(self, refusal: Refusal, request_id: str) -> HttpResponse:
-        """Build the answer that tells a caller of a refusal."""
+        """Build the answer that reports a refusal to a caller."""
 
 
 class NativeDialect(Dialect):
-    """The contract of docs/INTERFACE.md."""
+    """The header contract of merlintrail, described in docs/INTERFACE.md."""
 
     def read_caller(self, request: HttpRequest) -> CallerHeaders:
-        """Read the headers of the contract."""
+        """Decode deadline, context and idempotency key."""
         return read_caller_headers(request.headers)
 
     def list_forwarded_headers(self, request: HttpRequest) -> HeaderList:
-        """Return all headers but those of the hop and our own."""
+        """Return all headers except hop-by-hop and ``merlintrail-`` ones."""
         return [
             (name, text)
             for name, text in request.headers.items()
@@ -141,11 +146,11 @@
         ]
 
     def create_token(self, headers: HeaderList, rng: random.Random) -> str:
-        """Return a random token that nobody can guess."""
+        """Return a random token that is hard to guess."""
         return create_id(rng)
 
     def list_backend_headers(self, metadata: CallMetadata) -> HeaderList:
-        """Return context and deadline."""
+        """Encode the token as context, and the remaining time."""
         remaining_ms = max(1, int(metadata.remaining_s * _MS_PER_S))
         return (
             (CONTEXT_HEADER, metadata.token),
@@ -153,7 +158,7 @@
         )
 
     def classify_answer(self, token: str, answer: HttpResponse) -> AnswerClass:
-        """Tell a shed call by its status, the proof by the outcome."""
+        """Classify an answer by its status and its outcome header."""
         if answer.status != _SHED_STATUS:
             return AnswerClass.ANSWERED
         if answer.find_header(OUTCOME_HEADER) == Outcome.NOT_RUN:
@@ -161,20 +166,20 @@
         return AnswerClass.SHED
 
     def read_load(self, answer: HttpResponse) -> BackendLoad | None:
-        """Read the load header."""
+        """Decode the load header."""
         return parse_load(answer.find_header(LOAD_HEADER))
 
     def build_answer(
         self, answer: HttpResponse, request_id: str
     ) -> HttpResponse:
-        """Add the outcome and the identifier of the request."""
+        """Add the headers for the outcome and the request identifier."""
         headers = list_returned_headers(answer)
         headers.append((OUTCOME_HEADER, Outcome.COMPLETED.value))
         headers.append((REQUEST_ID_HEADER, request_id))
         return HttpResponse(answer.status, headers, answer.body)
 
     def build_refusal(self, refusal: Refusal, request_id: str) -> HttpResponse:
-        """Tell outcome and reason in headers and body."""
+        """Report outcome and reason in headers and body."""
         return build_refusal_response(refusal, request_id)
 
 
@@ -185,7 +190,7 @@
 
 
 def list_returned_headers(answer: HttpResponse) -> list[tuple[str, str]]:
-    """Return the headers of an answer that go back to the caller."""
+    """Return the headers of an answer to forward to the caller."""
     return [
         (name, text) for name, text in answer.headers if _is_forwarded(name)
     ]
--- a/merlintrail/protocol/_durations.py
+++ b/merlintrail/protocol/_durations.py
@@ -1,18 +1,18 @@
-"""Durations as settings and documents write them: a number and its unit."""
+"""Parsing of durations in settings and documents: a number and its unit."""
 
 import re
 from typing import Final
 
-_DURATION: Final = re.compile(r'([0-9]+(?:\.[0-9]+)?)(ms|s)')
-_SECONDS: Final = {'ms': 0.001, 's': 1.0}
+_DURATION_PATTERN: Final = re.compile(r'([0-9]+(?:\.[0-9]+)?)(ms|s)')
+_SECONDS_PER_UNIT: Final = {'ms': 0.001, 's': 1.0}
 
 
 def parse_duration(text: str) -> float | None:
-    """Return the seconds that ``1500ms`` or ``2.5s`` stands for.
+    """Convert a duration such as ``1500ms`` or ``2.5s`` to seconds.
 
-    :returns: ``None`` for another form.
+    :returns: ``None`` for text of another form.
     """
-    match = _DURATION.fullmatch(text)
+    match = _DURATION_PATTERN.fullmatch(text)
     if match is None:
         return None
-    return float(match.group(1)) * _SECONDS[match.group(2)]
+    return float(match.group(1)) * _SECONDS_PER_UNIT[match.group(2)]
--- a/merlintrail/protocol/_headers.py
+++ b/merlintrail/protocol/_headers.py
@@ -1,20 +1,20 @@
-"""Header names of the contract, and reading what callers send."""
+"""Header names of the contract, and decoding of caller headers."""
 
 import math
 from collections.abc import Mapping
 from typing import Final, NamedTuple
 
-#: Prefix of every header that belongs to merlintrail.
+#: Prefix of all headers that merlintrail defines.
 INTERNAL_PREFIX: Final = 'merlintrail-'
-#: Opaque context that a backend server copies to the calls it makes.
+#: Opaque context that a backend server copies into its nested calls.
 CONTEXT_HEADER: Final = 'merlintrail-context'
-#: Milliseconds that the caller is ready to wait.
+#: Milliseconds that the caller waits for the answer.
 DEADLINE_HEADER: Final = 'merlintrail-deadline-ms'
 #: Outcome of the call.
 OUTCOME_HEADER: Final = 'merlintrail-outcome'
 #: Reason of a refusal.
 REASON_HEADER: Final = 'merlintrail-reason'
-#: Load of a backend server in its answers: running, waiting, slots.
+#: Load that a backend server reports in answers: running, waiting, slots.
 LOAD_HEADER: Final = 'merlintrail-load'
 #: Identifier of the request, for logs and support.
 REQUEST_ID_HEADER: Final = 'merlintrail-request-id'
@@ -22,11 +22,11 @@
 CALL_HEADER: Final = 'merlintrail-call'
 #: Report header between nodes, a JSON array.
 REPORT_HEADER: Final = 'merlintrail-report'
-#: Shared key by which nodes recognise each other.
+#: Shared key that authenticates nodes to each other.
 FLEET_KEY_HEADER: Final = 'merlintrail-fleet-key'
-#: Key by which a resend of a non-idempotent request is recognised.
+#: Key that identifies a resend of a non-idempotent request.
 IDEMPOTENCY_KEY_HEADER: Final = 'idempotency-key'
-#: Headers that end at each hop.
+#: Headers that apply to a single connection and are not forwarded.
 HOP_BY_HOP_HEADERS: Final = frozenset(
     (
         'connection',
@@ -40,21 +40,21 @@
         'upgrade',
     )
 )
-#: Longest accepted idempotency key in characters.
+#: Maximum length of an idempotency key in characters.
 MAX_KEY_CHARS: Final = 128
 
 
 class CallerHeaders(NamedTuple):
-    """What a caller says about its request, checked."""
+    """Validated headers of a caller's request."""
 
     context: str | None
     deadline_ms: float | None
     key: str | None
-    #: What is wrong with the headers, all findings together.
+    #: Descriptions of all invalid headers.
     findings: tuple[str, ...]
-    #: Identifier that the caller gave its request, if callers give one.
+    #: Request identifier chosen by the caller, ``None`` without one.
     request_id: str | None = None
-    #: Whether the context must stand for a running call.
+    #: Whether a context that matches no running call is an error.
     must_resolve_context: bool = True
 
 
@@ -81,7 +81,7 @@
 
 
 def read_caller_headers(headers: Mapping[str, str]) -> CallerHeaders:
-    """Read the headers of the contract; every fault becomes a finding."""
+    """Decode the headers of a caller; report invalid ones as findings."""
     findings: list[str] = []
     deadline_text = headers.get(DEADLINE_HEADER)
     deadline_ms = (
--- a/merlintrail/protocol/_importance.py
+++ b/merlintrail/protocol/_importance.py
@@ -1,11 +1,11 @@
-"""Importance classes and the priorities that divide each of them."""
+"""Importance classes, and the priorities into which they are divided."""
 
 import enum
 from typing import Final
 
 import xxhash
 
-#: Priorities within one importance class.
+#: Number of priorities within each importance class.
 SUBLEVELS: Final = 32
 
 
@@ -18,12 +18,12 @@
     CRITICAL = 3
 
 
-#: The highest priority that a call can have.
+#: Highest priority of a call.
 MAX_PRIORITY: Final = len(Importance) * SUBLEVELS - 1
 
 
 def read_importance(name: str) -> Importance:
-    """Return the class of that lower-case name.
+    """Return the importance class with a lower-case name.
 
     :raises KeyError: for an unknown name.
     """
@@ -31,11 +31,11 @@
 
 
 def compute_priority(importance: Importance, request_id: str) -> int:
-    """Compute the priority that a request has at every hop.
+    """Compute the priority of a request, which is the same at every hop.
 
-    The place within the class is a hash of the request id: services that
-    shed part of a class then shed the same requests, and no work is done
-    for a request that another service is going to refuse.
+    The sublevel within the class is a hash of the request id. Services that
+    shed part of a class therefore shed the same requests, and no work is
+    done for a request that another service is going to refuse.
     """
-    place: int = xxhash.xxh32_intdigest(request_id.encode()) % SUBLEVELS
-    return importance * SUBLEVELS + place
+    sublevel: int = xxhash.xxh32_intdigest(request_id.encode()) % SUBLEVELS
+    return importance * SUBLEVELS + sublevel
--- a/merlintrail/protocol/_inquiry.py
+++ b/merlintrail/protocol/_inquiry.py
@@ -1,34 +1,35 @@
-"""Asking a node what became of a call."""
+"""Inquiries, which ask a node for the state of a call."""
 
 import enum
 from typing import NamedTuple
 
 
 class InquiryState(enum.StrEnum):
-    """What the asked node knows of the call."""
+    """State of a call at the node that was asked."""
 
     FINISHED = 'finished'
     RUNNING = 'running'
-    #: Never seen, and refused from now on should it arrive late.
+    #: The call has not arrived, and is refused if it arrives later.
     TOMBSTONE = 'tombstone'
-    #: Another process than the one that the call was sent to.
+    #: The asked process is not the one that the call was sent to.
     OTHER_INCARNATION = 'other-incarnation'
 
 
 class Inquiry(NamedTuple):
-    """Question about one call."""
+    """Question for the state of one call."""
 
     call_id: str
     incarnation: int
 
 
 class InquiryAnswer(NamedTuple):
-    """Answer to an inquiry; a finished call's answer comes along."""
+    """Answer to an inquiry, with the answer to the call if it finished."""
 
     #: Value of :class:`InquiryState`.
     state: str
+    #: HTTP status of the call's answer, 0 if no answer is available.
     status: int = 0
-    #: Header pairs of the finished answer.
+    #: Header pairs of the call's answer.
     headers: tuple[tuple[str, str], ...] = ()
-    #: Body of the finished answer, in base 64.
+    #: Body of the call's answer, encoded as Base64.
     body: str = ''
--- a/merlintrail/protocol/_outcome.py
+++ b/merlintrail/protocol/_outcome.py
@@ -1,4 +1,4 @@
-"""What became of a call, and the answers that say so."""
+"""Outcomes of calls, and the answers that report a refusal."""
 
 import enum
 import math
@@ -16,16 +16,16 @@
 class Outcome(enum.StrEnum):
     """Whether a call ran."""
 
-    #: The whole answer of the backend server is delivered.
+    #: The backend server's complete answer is delivered.
     COMPLETED = 'completed'
-    #: Proved: the request did not run anywhere.
+    #: The request is proved not to have run on any backend server.
     NOT_RUN = 'not-run'
-    #: The request ran in part, or nobody can tell.
+    #: The request ran in part, or it is unknown whether it ran.
     MAY_HAVE_RUN = 'may-have-run'
 
 
 class Reason(enum.StrEnum):
-    """Why a call was refused or given up."""
+    """Why a call was refused, cancelled or timed out."""
 
     OVERLOAD = 'overload'
     SHED_EARLY = 'shed-early'
@@ -59,7 +59,7 @@
     CALL_CHAIN_TOO_DEEP = 'call-chain-too-deep'
 
 
-_STATUSES: Final = {
+_STATUS_BY_REASON: Final = {
     Reason.DEADLINE_UNREACHABLE: 504,
     Reason.DEADLINE_PASSED: 504,
     Reason.UNKNOWN_SERVICE: 404,
@@ -76,34 +76,35 @@
     Reason.CALL_CHAIN_TOO_DEEP: 508,
 }
 _DEFAULT_STATUS: Final = 503
-_STATUSES_TO_RETRY: Final = frozenset((409, 502, 503, 504))
+#: Statuses that are sent with a ``Retry-After`` header.
+_RETRY_AFTER_STATUSES: Final = frozenset((409, 502, 503, 504))
 
 
 class Refusal(NamedTuple):
-    """Sentinel in place of an answer, with outcome and reason."""
+    """Returned in place of an answer to a call that was refused or failed."""
 
     outcome: Outcome
     reason: Reason
-    #: Further words for a person.
+    #: Human-readable details.
     detail: str = ''
-    #: Seconds after which the caller should come back.
+    #: Seconds after which the caller should retry.
     retry_after_s: float = 1.0
 
     @property
     def status(self) -> int:
-        """The HTTP status of the refusal."""
-        return _STATUSES.get(self.reason, _DEFAULT_STATUS)
+        """HTTP status of the refusal."""
+        return _STATUS_BY_REASON.get(self.reason, _DEFAULT_STATUS)
 
 
 def build_refusal_response(refusal: Refusal, request_id: str) -> HttpResponse:
-    """Build the answer that tells a caller of a refusal."""
+    """Build the answer that reports a refusal to a caller."""
     headers = [
         ('content-type', 'application/json'),
         (OUTCOME_HEADER, refusal.outcome.value),
         (REASON_HEADER, refusal.reason.value),
         (REQUEST_ID_HEADER, request_id),
     ]
-    if refusal.status in _STATUSES_TO_RETRY:
+    if refusal.status in _RETRY_AFTER_STATUSES:
         seconds = max(1, math.ceil(refusal.retry_after_s))
         headers.append(('retry-after', str(seconds)))
     body = encode_json(
