--- a/merlintrail/protocol/__init__.py
+++ b/merlintrail/protocol/__init__.py
@@ -1,11 +1,11 @@
-"""Headers, outcomes and typed messages, with their codecs."""
+"""Headers, outcomes and typed messages, with their encoding and decoding."""
 
 from merlintrail.protocol._call import (
     CallHeader,
     CallReport,
     decode_call_header,
     decode_call_report,
-    encode_fields,
+    encode_header_record,
 )
 from merlintrail.protocol._codec import (
     DecodeFailure,
@@ -14,27 +14,27 @@
     encode_json,
 )
 from merlintrail.protocol._dialect import (
+    AnswerClass,
     BackendLoad,
-    BackendTerms,
-    BackendVerdict,
+    CallMetadata,
     Dialect,
-    OwnDialect,
-    list_returned,
+    NativeDialect,
+    list_returned_headers,
     parse_load,
 )
 from merlintrail.protocol._durations import parse_duration
 from merlintrail.protocol._headers import (
+    CALL_HEADER,
     CONTEXT_HEADER,
     DEADLINE_HEADER,
     FLEET_KEY_HEADER,
-    FORWARDED_DROP,
+    HOP_BY_HOP_HEADERS,
     IDEMPOTENCY_KEY_HEADER,
     INTERNAL_PREFIX,
     OUTCOME_HEADER,
     REASON_HEADER,
     REPORT_HEADER,
     REQUEST_ID_HEADER,
-    CALL_HEADER,
     CallerHeaders,
     read_caller_headers,
 )
@@ -59,7 +59,7 @@
     'CONTEXT_HEADER',
     'DEADLINE_HEADER',
     'FLEET_KEY_HEADER',
-    'FORWARDED_DROP',
+    'HOP_BY_HOP_HEADERS',
     'IDEMPOTENCY_KEY_HEADER',
     'INTERNAL_PREFIX',
     'MAX_PRIORITY',
@@ -68,10 +68,10 @@
     'REPORT_HEADER',
     'REQUEST_ID_HEADER',
     'SUBLEVELS',
+    'AnswerClass',
     'BackendLoad',
-    'BackendTerms',
-    'BackendVerdict',
     'CallHeader',
+    'CallMetadata',
     'CallReport',
     'CallerHeaders',
     'DecodeFailure',
@@ -80,8 +80,8 @@
     'Inquiry',
     'InquiryAnswer',
     'InquiryState',
+    'NativeDialect',
     'Outcome',
-    'OwnDialect',
     'Reason',
     'Refusal',
     'build_refusal_response',
@@ -91,9 +91,9 @@
     'decode_call_report',
     'decode_json',
     'decode_record',
-    'encode_fields',
+    'encode_header_record',
     'encode_json',
-    'list_returned',
+    'list_returned_headers',
     'parse_duration',
     'parse_load',
     'read_caller_headers',
--- a/merlintrail/protocol/_outcome.py
+++ b/merlintrail/protocol/_outcome.py
@@ -1,4 +1,4 @@
-"""What became of a call, and the answers that say so."""
+"""Outcomes of calls, and the answers that report a refusal."""
 
 import enum
 import math
@@ -16,20 +16,20 @@
 class Outcome(enum.StrEnum):
     """Whether a call ran."""
 
-    #: The whole answer of the backend server is delivered.
+    #: The backend server's complete answer is delivered.
     COMPLETED = 'completed'
-    #: Proved: the request did not run anywhere.
+    #: The request is proved not to have run on any backend server.
     NOT_RUN = 'not-run'
-    #: The request ran in part, or nobody can tell.
+    #: The request ran in part, or it is unknown whether it ran.
     MAY_HAVE_RUN = 'may-have-run'
 
 
 class Reason(enum.StrEnum):
-    """Why a call was refused or given up."""
+    """Why a call was refused, cancelled or timed out."""
 
     OVERLOAD = 'overload'
     SHED_EARLY = 'shed-early'
-    DEADLINE = 'deadline-unreachable'
+    DEADLINE_UNREACHABLE = 'deadline-unreachable'
     DEADLINE_PASSED = 'deadline-passed'
     DRAINING = 'draining'
     PLANNED_STOP = 'planned-stop'
@@ -39,12 +39,12 @@
     UNKNOWN_CONTEXT = 'unknown-context'
     BAD_REQUEST = 'bad-request'
     QUARANTINED = 'quarantined'
-    SUSPECT_BUSY = 'suspect-already-running'
+    SUSPECT_ALREADY_RUNNING = 'suspect-already-running'
     PARENT_ENDED = 'parent-ended'
     TOMBSTONE = 'tombstone'
     STALE_INCARNATION = 'stale-incarnation'
     DUPLICATE_CALL = 'duplicate-call'
-    REPEATED_CALL = 'retry-account-empty'
+    RETRY_ACCOUNT_EMPTY = 'retry-account-empty'
     BACKEND_REFUSED = 'backend-server-refused'
     BACKEND_LOST = 'backend-server-lost'
     BACKEND_DISPLACED = 'backend-server-displaced'
@@ -56,11 +56,11 @@
     KEY_REUSED = 'key-for-another-request'
     LEDGER_UNAVAILABLE = 'ledger-unavailable'
     LEDGER_MOVED = 'ledger-owner-moved'
-    TOO_DEEP = 'call-chain-too-deep'
+    CALL_CHAIN_TOO_DEEP = 'call-chain-too-deep'
 
 
-_STATUSES: Final = {
-    Reason.DEADLINE: 504,
+_STATUS_BY_REASON: Final = {
+    Reason.DEADLINE_UNREACHABLE: 504,
     Reason.DEADLINE_PASSED: 504,
     Reason.UNKNOWN_SERVICE: 404,
     Reason.UNKNOWN_CONTEXT: 400,
@@ -73,37 +73,38 @@
     Reason.KEY_IN_USE: 409,
     Reason.KEY_EXECUTED: 409,
     Reason.KEY_REUSED: 422,
-    Reason.TOO_DEEP: 508,
+    Reason.CALL_CHAIN_TOO_DEEP: 508,
 }
 _DEFAULT_STATUS: Final = 503
-_STATUSES_TO_RETRY: Final = frozenset((409, 502, 503, 504))
+#: Statuses that are sent with a ``Retry-After`` header.
+_RETRY_AFTER_STATUSES: Final = frozenset((409, 502, 503, 504))
 
 
 class Refusal(NamedTuple):
-    """Sentinel in place of an answer, with outcome and reason."""
+    """Returned in place of an answer to a call that was refused or failed."""
 
     outcome: Outcome
     reason: Reason
-    #: Further words for a person.
+    #: Human-readable details.
     detail: str = ''
-    #: Seconds after which the caller should come back.
+    #: Seconds after which the caller should retry.
     retry_after_s: float = 1.0
 
     @property
     def status(self) -> int:
-        """The HTTP status of the refusal."""
-        return _STATUSES.get(self.reason, _DEFAULT_STATUS)
+        """HTTP status of the refusal."""
+        return _STATUS_BY_REASON.get(self.reason, _DEFAULT_STATUS)
 
 
 def build_refusal_response(refusal: Refusal, request_id: str) -> HttpResponse:
-    """Build the answer that tells a caller of a refusal."""
+    """Build the answer that reports a refusal to a caller."""
     headers = [
         ('content-type', 'application/json'),
         (OUTCOME_HEADER, refusal.outcome.value),
         (REASON_HEADER, refusal.reason.value),
         (REQUEST_ID_HEADER, request_id),
     ]
-    if refusal.status in _STATUSES_TO_RETRY:
+    if refusal.status in _RETRY_AFTER_STATUSES:
         seconds = max(1, math.ceil(refusal.retry_after_s))
         headers.append(('retry-after', str(seconds)))
     body = encode_json(
--- a/merlintrail/transport/__init__.py
+++ b/merlintrail/transport/__init__.py
@@ -1,10 +1,10 @@
-"""Listeners and pooled connections for HTTP/1.1 on asyncio."""
+"""HTTP/1.1 servers and pooled client connections on asyncio."""
 
 from merlintrail.transport._bad_request import BadRequest
 from merlintrail.transport._client import (
     TIMEOUT,
     ClientConnection,
-    Patience,
+    ExchangeTimeouts,
 )
 from merlintrail.transport._failure import FailureStage, TransportFailure
 from merlintrail.transport._message import (
@@ -27,12 +27,12 @@
     'BadRequest',
     'ClientConnection',
     'ConnectionPool',
+    'ExchangeTimeouts',
     'FailureStage',
     'HeaderList',
     'HttpRequest',
     'HttpResponse',
     'HttpServer',
-    'Patience',
     'RequestHandler',
     'ServerLimits',
     'TransportFailure',
