--- a/merlintrail/node/_gate.py
+++ b/merlintrail/node/_gate.py
@@ -9,7 +9,7 @@
 from merlintrail.state import (
     AdaptiveLimit,
     Admission,
-    ShedController,
+    SheddingController,
     create_limit,
 )
 
@@ -23,7 +23,7 @@
         now = clock()
         self.backend = BackendServer(announcement, now)
         self.limit: AdaptiveLimit = create_limit(announcement.slots, now)
-        self.shedder = ShedController(now)
+        self.shedder = SheddingController(now)
         self.admission = Admission(
             self.limit, self.shedder, clock, _DEFAULT_QUEUE_LIMIT_S
         )
--- a/merlintrail/state/__init__.py
+++ b/merlintrail/state/__init__.py
@@ -66,7 +66,11 @@
     ServiceShare,
 )
 from merlintrail.state._routing import RoutingTable
-from merlintrail.state._shedding import LevelTable, ShedController, is_shed
+from merlintrail.state._shedding import (
+    SheddingController,
+    SheddingLevelTable,
+    is_shed,
+)
 from merlintrail.state._stops import find_stop, outlasts_start
 from merlintrail.state._targets import Target
 from merlintrail.state._validation import (
@@ -99,7 +103,6 @@
     'KeyState',
     'LedgerIndex',
     'LedgerSettings',
-    'LevelTable',
     'LinkAllowance',
     'Member',
     'MemberStatus',
@@ -124,7 +127,8 @@
     'Service',
     'ServiceOffer',
     'ServiceShare',
-    'ShedController',
+    'SheddingController',
+    'SheddingLevelTable',
     'SheddingMemory',
     'Suspicion',
     'Target',
--- a/merlintrail/state/_admission.py
+++ b/merlintrail/state/_admission.py
@@ -13,7 +13,7 @@
     Refusal,
 )
 from merlintrail.state._limits import ConcurrencyLimit
-from merlintrail.state._shedding import ShedController, is_shed
+from merlintrail.state._shedding import SheddingController, is_shed
 
 #: Weight of a new sample in the mean service time. A rise is followed
 #: faster than a fall, so that the queue shortens as soon as calls slow down.
@@ -85,7 +85,7 @@
     def __init__(
         self,
         limit: ConcurrencyLimit,
-        shedder: ShedController,
+        shedder: SheddingController,
         clock: Callable[[], float],
         queue_limit_s: float,
     ) -> None:
@@ -307,7 +307,7 @@
         self._observe()
 
     def _observe(self) -> None:
-        self.shedder.observe(
+        self.shedder.record_occupancy(
             self._clock(), self.running, self._waiting_below, self.limit.limit
         )
 
--- a/merlintrail/state/_path_levels.py
+++ b/merlintrail/state/_path_levels.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Final
 
-from merlintrail.state._shedding import LevelTable
+from merlintrail.state._shedding import SheddingLevelTable
 
 #: Seconds after which a kind that no longer reaches a service forgets it.
 REACH_MEMORY_S: Final = 60.0
@@ -26,7 +26,7 @@
     """
 
     def __init__(self) -> None:
-        self._levels = LevelTable()
+        self._levels = SheddingLevelTable()
         self._reach: dict[str, dict[str, float]] = {}
 
     def record(
--- a/merlintrail/state/_shedding.py
+++ b/merlintrail/state/_shedding.py
@@ -87,7 +87,7 @@
         self._observed_at = now
 
 
-class ShedController:
+class SheddingController:
     """Sets the shedding level of one backend server.
 
     While calls are refused for lack of capacity the level rises at once to
@@ -135,7 +135,7 @@
         self._completions += 1
         self._service_s = service_s
 
-    def observe(
+    def record_occupancy(
         self, now: float, running: int, waiting: int, limit: int
     ) -> None:
         """Take the slots in use and the calls below others that wait."""
@@ -214,7 +214,7 @@
         return max(0, self.level - int(age_s * FALLBACK_PER_S))
 
 
-class LevelTable:
+class SheddingLevelTable:
     """Levels that answers brought from elsewhere, by name."""
 
     def __init__(self) -> None:
--- a/merlintrail/state/tests/test_admission.py
+++ b/merlintrail/state/tests/test_admission.py
@@ -12,14 +12,14 @@
     Admission,
     Claim,
     FixedLimit,
-    ShedController,
+    SheddingController,
 )
 from merlintrail.testing import run_virtually
 
 
 def _create_admission(slots: int) -> Admission:
     clock = asyncio.get_running_loop().time
-    return Admission(FixedLimit(slots), ShedController(clock()), clock, 0.1)
+    return Admission(FixedLimit(slots), SheddingController(clock()), clock, 0.1)
 
 
 async def _hold(
@@ -199,12 +199,12 @@
         self.assertEqual((running, queued), (0, 0))
 
 
-class ShedControllerTest(unittest.TestCase):
+class SheddingControllerTest(unittest.TestCase):
     """The level follows load and falls back."""
 
     def test_level_rises_to_what_fits_and_falls_back(self) -> None:
         """Twice the capacity, then calm: the lower half is shed."""
-        shedder = ShedController(0.0)
+        shedder = SheddingController(0.0)
         now = 0.0
         for _ in range(400):
             now += 0.01
--- a/merlintrail/state/tests/test_load_decisions.py
+++ b/merlintrail/state/tests/test_load_decisions.py
@@ -17,7 +17,7 @@
     RetryBudget,
     RoutingTable,
     ServiceOffer,
-    ShedController,
+    SheddingController,
     compute_pause,
     is_shed,
     raise_priority,
@@ -31,12 +31,12 @@
     """A deep service whose callers wait, so that they call no more often."""
 
     def drive(
-        self, shedder: ShedController, waiting: int, seconds: float
+        self, shedder: SheddingController, waiting: int, seconds: float
     ) -> None:
         """Complete as many calls as arrive while some wait."""
         for _ in range(int(seconds * 100)):
             self.now += 0.01
-            shedder.observe(self.now, 9, waiting, 9)
+            shedder.record_occupancy(self.now, 9, waiting, 9)
             for place in range(0, SUBLEVELS, 8):
                 priority = _NORMAL + place + self.draw.randrange(8)
                 if not is_shed(priority, shedder.level):
@@ -46,7 +46,7 @@
     def setUp(self) -> None:
         self.now = 0.0
         self.draw = random.Random(1)
-        self.shedder = ShedController(0.0)
+        self.shedder = SheddingController(0.0)
 
     def test_level_rises_with_the_waiting_load(self) -> None:
         """Arrivals never exceed completions, and still it sheds."""
