--- a/merlintrail/state/_shedding.py
+++ b/merlintrail/state/_shedding.py
@@ -1,4 +1,8 @@
-"""Shedding levels: set at a backend server, followed by its callers."""
+"""Load shedding by priority.
+
+The node of a backend server computes a shedding level from its load and
+reports it to callers, which then stop sending calls of lower priority.
+"""
 
 import math
 from collections.abc import Iterable
@@ -6,222 +10,279 @@
 
 from merlintrail.protocol import MAX_PRIORITY, SUBLEVELS
 
-#: Seconds of one window of the controller.
+#: Control interval in seconds.
 WINDOW_S: Final = 0.1
-#: Offered load in relation to capacity at which the queue stays filled.
-FILL_RATIO: Final = 1.1
-#: Seconds over which counts of earlier windows fade, at least.
-MIN_MEMORY_S: Final = 0.3
-#: The same in service times, so that a slow backend server is judged by
-#: enough completions.
-MEMORY_SERVICE_TIMES: Final = 3.0
-#: Seconds over which slots in use and calls waiting are averaged.
-OCCUPANCY_MEMORY_S: Final = 0.2
-#: Calls below others that may wait, in relation to the slots.
-WAITING_TARGET: Final = 0.15
-#: Share of slots in use from which the level falls slowly.
-BUSY_SHARE: Final = 0.7
-#: Seconds that a raised level takes to show in the load.
-FEEDBACK_S: Final = 0.4
-#: Seconds that a reported level holds before it falls back.
+#: Ratio of admitted load to completed calls that the level aims at. It is
+#: above 1 so that the queue stays filled.
+TARGET_LOAD_RATIO: Final = 1.1
+#: Minimum time constant in seconds of the exponential decay of the arrival
+#: and completion counts.
+MIN_TIME_CONSTANT_S: Final = 0.3
+#: The same time constant in mean service times. It applies when it is the
+#: longer one, so that the counts of a slow backend server cover enough
+#: completions.
+TIME_CONSTANT_SERVICE_TIMES: Final = 3.0
+#: Time constant in seconds of the moving averages of slots in use and
+#: nested calls waiting.
+OCCUPANCY_TIME_CONSTANT_S: Final = 0.2
+#: Ratio of waiting nested calls to slots above which the level is raised.
+MAX_WAITING_RATIO: Final = 0.15
+#: Share of slots in use above which the level is lowered by only one
+#: priority per control interval.
+BUSY_UTILIZATION: Final = 0.7
+#: Seconds until a raised level takes effect on the load. Nested calls that
+#: wait do not raise the level again before then.
+FEEDBACK_DELAY_S: Final = 0.4
+#: Seconds for which a reported level is used unchanged before it decays.
 HOLD_S: Final = 0.3
-#: Priorities a second by which an old level falls back.
-FALLBACK_PER_S: Final = 48.0
-#: Places of each importance class that pass also when the class is shed, so
-#: that none is shut out and its levels stay known.
-OPEN_PLACES: Final = 4
-#: Entries of a level table above which stale ones are removed.
+#: Linear decay of a reported level, in priorities per second.
+DECAY_PER_S: Final = 48.0
+#: Number of sublevels at the top of each importance class that are exempt
+#: from shedding, so that no class is shut out entirely and the levels that
+#: its calls meet stay known.
+EXEMPT_SUBLEVELS: Final = 4
+#: Table size above which entries that have decayed to 0 are removed.
 MAX_ENTRIES: Final = 4096
 
 
 def is_shed(priority: int, level: int) -> bool:
-    """Tell whether a level keeps a priority out."""
+    """Return whether calls of a priority are shed at a level.
+
+    Calls at or above the level pass, and so do exempt sublevels below it.
+    """
     if priority >= level:
         return False
-    return priority % SUBLEVELS < SUBLEVELS - OPEN_PLACES
+    return priority % SUBLEVELS < SUBLEVELS - EXEMPT_SUBLEVELS
 
 
-class _Occupancy:
-    """Slots in use and calls waiting, averaged over time."""
+class _OccupancyAverages:
+    """Moving averages of the slots in use and the nested calls waiting.
+
+    Within a control interval the values are integrated over time, and the
+    mean of the interval then enters an exponentially weighted moving
+    average.
+    """
 
     def __init__(self, now: float) -> None:
         self._observed_at = now
         self._running = 0
         self._waiting = 0
         self._limit = 1
-        self._running_area = 0.0
-        self._waiting_area = 0.0
-        self._limit_area = 0.0
-        #: Share of the slots in use.
-        self.used_share = 0.0
-        #: Calls waiting in relation to the slots.
-        self.waiting_share = 0.0
+        self._running_integral = 0.0
+        self._waiting_integral = 0.0
+        self._limit_integral = 0.0
+        #: Average share of the slots in use.
+        self.utilization = 0.0
+        #: Average ratio of waiting nested calls to slots.
+        self.waiting_ratio = 0.0
 
     def observe(
         self, now: float, running: int, waiting: int, limit: int
     ) -> None:
-        """Take the numbers that hold from now on."""
-        self._advance(now)
+        """Set the values that apply from ``now`` until the next call."""
+        self._integrate(now)
         self._running = running
         self._waiting = waiting
         self._limit = limit
 
     def close_window(self, now: float, windows: int) -> None:
-        """Fold what was observed since the last time into the averages."""
-        self._advance(now)
-        if self._limit_area > 0:
-            weight = 1 - math.exp(-windows * WINDOW_S / OCCUPANCY_MEMORY_S)
-            used = self._running_area / self._limit_area
-            waiting = self._waiting_area / self._limit_area
-            self.used_share += (used - self.used_share) * weight
-            self.waiting_share += (waiting - self.waiting_share) * weight
-        self._running_area = 0.0
-        self._waiting_area = 0.0
-        self._limit_area = 0.0
-
-    def _advance(self, now: float) -> None:
+        """Update the averages with the means since the previous update.
+
+        :param windows: number of control intervals since then.
+        """
+        self._integrate(now)
+        if self._limit_integral > 0:
+            weight = 1 - math.exp(
+                -windows * WINDOW_S / OCCUPANCY_TIME_CONSTANT_S
+            )
+            used = self._running_integral / self._limit_integral
+            waiting = self._waiting_integral / self._limit_integral
+            self.utilization += (used - self.utilization) * weight
+            self.waiting_ratio += (waiting - self.waiting_ratio) * weight
+        self._running_integral = 0.0
+        self._waiting_integral = 0.0
+        self._limit_integral = 0.0
+
+    def _integrate(self, now: float) -> None:
         elapsed = now - self._observed_at
-        self._running_area += self._running * elapsed
-        self._waiting_area += self._waiting * elapsed
-        self._limit_area += self._limit * elapsed
+        self._running_integral += self._running * elapsed
+        self._waiting_integral += self._waiting * elapsed
+        self._limit_integral += self._limit * elapsed
         self._observed_at = now
 
 
 class SheddingController:
-    """Sets the shedding level of one backend server.
-
-    While calls are refused for lack of capacity the level rises at once to
-    where the offered load fits what was completed. Calls below others are
-    not refused but wait, and while they wait their requests make no further
-    calls: there the level rises by the share of the load that waits, not
-    more often than a change takes to show. Otherwise it falls, by steps
-    that double when the backend server is not even saturated.
+    """Computes the shedding level of one backend server.
+
+    After a capacity overflow the level is raised at once to the point where
+    the offered load above it matches the completed calls.
+
+    Nested calls are not shed but wait, and while they wait their requests
+    make no further calls. When too many of them wait, the level is
+    raised to shed the waiting share of the load, at most once per
+    ``FEEDBACK_DELAY_S``, because a change takes that long to show.
+
+    Otherwise the level is lowered by one priority per control interval, or
+    by a step that doubles each time while the backend server is not
+    saturated.
     """
 
     def __init__(self, now: float) -> None:
         self._level = 0
-        self._step = 1
-        #: Decayed counts of arrivals for each priority.
+        self._decrease_step = 1
+        #: Exponentially decayed number of arrivals by priority.
         self._arrivals = [0.0 for _ in range(MAX_PRIORITY + 1)]
         self._completions = 0.0
-        self._service_s = 0.0
+        self._mean_service_s = 0.0
         self._has_overflowed = False
         self._was_saturated = False
-        self._started_at = now
-        self._occupancy = _Occupancy(now)
-        self._pressed_at = now - FEEDBACK_S
+        self._window_started_at = now
+        self._occupancy = _OccupancyAverages(now)
+        self._raised_at = now - FEEDBACK_DELAY_S
 
     @property
     def level(self) -> int:
-        """The level as it was when last read, without a step of time."""
+        """The level as last computed; does not run the controller."""
         return self._level
 
     def read_level(self, now: float) -> int:
-        """Return the level; calls of a lower priority are refused."""
-        if now - self._started_at >= WINDOW_S:
+        """Return the level, updated first if a control interval has passed.
+
+        Calls below the level are refused; see :func:`is_shed`.
+        """
+        if now - self._window_started_at >= WINDOW_S:
             self._close_window(now)
         return self._level
 
     def record_arrival(self, now: float, priority: int) -> None:
-        """Count a call that reached the backend server's node."""
+        """Count a call that arrived at the node, whether admitted or not."""
         self.read_level(now)
         self._arrivals[priority] += 1
 
     def record_completion(self, service_s: float) -> None:
-        """Count a call that the backend server finished.
+        """Count a call that the backend server completed.
 
-        :param service_s: mean time for which calls hold their slot.
+        :param service_s: mean time in seconds for which calls hold a slot.
         """
         self._completions += 1
-        self._service_s = service_s
+        self._mean_service_s = service_s
 
     def record_occupancy(
         self, now: float, running: int, waiting: int, limit: int
     ) -> None:
-        """Take the slots in use and the calls below others that wait."""
+        """Record the slots in use, the waiting nested calls and the limit.
+
+        :param running: number of slots in use.
+        :param waiting: number of nested calls that wait for a slot.
+        :param limit: number of slots.
+        """
         self._occupancy.observe(now, running, waiting, limit)
 
     def record_saturation(self) -> None:
-        """Take note that every slot was in use."""
+        """Record that a call arrived and found no free slot."""
         self._was_saturated = True
 
     def record_overflow(self) -> None:
-        """Take note that a call was refused for lack of capacity."""
+        """Record a sign that the load exceeds the capacity.
+
+        This is a call that is refused or evicted from the queue for lack of
+        capacity, or a nested call that has to wait too long.
+        """
         self._has_overflowed = True
 
     def _close_window(self, now: float) -> None:
-        windows = max(1, int((now - self._started_at) / WINDOW_S))
+        windows = max(1, int((now - self._window_started_at) / WINDOW_S))
         self._occupancy.close_window(now, windows)
         if self._has_overflowed:
-            self._step = 1
-            self._level = max(self._level, self._find_fitting_level())
-        if self._occupancy.waiting_share > WAITING_TARGET:
-            self._press(now)
+            self._decrease_step = 1
+            self._level = max(self._level, self._find_sustainable_level())
+        if self._occupancy.waiting_ratio > MAX_WAITING_RATIO:
+            self._raise_for_waiting(now)
         elif not self._has_overflowed:
-            self._fall(windows)
-        memory_s = max(MIN_MEMORY_S, self._service_s * MEMORY_SERVICE_TIMES)
-        decay = math.exp(-windows * WINDOW_S / memory_s)
+            self._lower_level(windows)
+        time_constant_s = max(
+            MIN_TIME_CONSTANT_S,
+            self._mean_service_s * TIME_CONSTANT_SERVICE_TIMES,
+        )
+        decay = math.exp(-windows * WINDOW_S / time_constant_s)
         self._arrivals = [count * decay for count in self._arrivals]
         self._completions *= decay
         self._has_overflowed = False
         self._was_saturated = False
-        self._started_at = now
+        self._window_started_at = now
+
+    def _raise_for_waiting(self, now: float) -> None:
+        """Raise the level to shed the share of the load that waits.
 
-    def _press(self, now: float) -> None:
-        """Raise the level by the share of the load that waits."""
-        self._step = 1
-        if now - self._pressed_at < FEEDBACK_S:
+        With all slots in use and ``waiting`` calls queued per slot, the
+        queued calls are ``waiting / (1 + waiting)`` of the load. Arrivals
+        are added up from the lowest priority until they reach that share.
+        """
+        self._decrease_step = 1
+        if now - self._raised_at < FEEDBACK_DELAY_S:
             return
-        self._pressed_at = now
-        waiting = self._occupancy.waiting_share
-        to_shed = sum(self._arrivals) * waiting / (1 + waiting)
-        shed = 0.0
+        self._raised_at = now
+        waiting = self._occupancy.waiting_ratio
+        excess = sum(self._arrivals) * waiting / (1 + waiting)
+        shed_load = 0.0
         for priority, count in enumerate(self._arrivals):
-            shed += count
-            if shed >= to_shed:
+            shed_load += count
+            if shed_load >= excess:
                 self._level = min(MAX_PRIORITY, max(self._level, priority + 1))
                 return
 
-    def _fall(self, windows: int) -> None:
-        is_busy = self._occupancy.used_share > BUSY_SHARE
+    def _lower_level(self, windows: int) -> None:
+        """Lower the level, in doubling steps unless the server is saturated."""
+        is_busy = self._occupancy.utilization > BUSY_UTILIZATION
         if self._was_saturated or is_busy:
-            self._step = 1
+            self._decrease_step = 1
         else:
-            self._step = min(self._step * 2, MAX_PRIORITY)
-        self._level = max(0, self._level - self._step * windows)
+            self._decrease_step = min(self._decrease_step * 2, MAX_PRIORITY)
+        self._level = max(0, self._level - self._decrease_step * windows)
 
-    def _find_fitting_level(self) -> int:
-        room = self._completions * FILL_RATIO + 1
+    def _find_sustainable_level(self) -> int:
+        """Return the lowest level whose admitted load fits the capacity.
+
+        The capacity is estimated from the completed calls, and arrivals
+        are added up from the highest priority until they exceed it.
+        """
+        capacity = self._completions * TARGET_LOAD_RATIO + 1
         offered = 0.0
         for priority in range(MAX_PRIORITY, -1, -1):
             offered += self._arrivals[priority]
-            if offered > room:
+            if offered > capacity:
                 return min(priority + 1, MAX_PRIORITY)
         return 0
 
 
 class ReportedLevel(NamedTuple):
-    """A level as last told, and when."""
+    """A shedding level reported by another node, and when it arrived."""
 
     level: int
     reported_at: float
 
     def compute_level(self, now: float) -> int:
-        """Return the level after its gradual fallback."""
+        """Return the level after its decay.
+
+        It holds for ``HOLD_S`` and then decreases by ``DECAY_PER_S``.
+        """
         age_s = now - self.reported_at - HOLD_S
         if age_s <= 0:
             return self.level
-        return max(0, self.level - int(age_s * FALLBACK_PER_S))
+        return max(0, self.level - int(age_s * DECAY_PER_S))
 
 
 class SheddingLevelTable:
-    """Levels that answers brought from elsewhere, by name."""
+    """Shedding levels reported in answers of other nodes, by name."""
 
     def __init__(self) -> None:
         self._levels: dict[str, ReportedLevel] = {}
 
     def record(self, name: str, level: int, now: float) -> None:
-        """Take a level; a lower one only replaces what has fallen back."""
+        """Store a reported level, replacing the previous one for the name.
+
+        Level 0 of an unknown name is not stored: it is the default.
+        """
         if level <= 0 and name not in self._levels:
             return
         if len(self._levels) > MAX_ENTRIES:
@@ -229,17 +290,17 @@
         self._levels[name] = ReportedLevel(level, now)
 
     def read(self, name: str, now: float) -> int:
-        """Return the level in force for a name, 0 when nothing is known."""
-        known = self._levels.get(name)
-        return 0 if known is None else known.compute_level(now)
+        """Return the current level for a name, or 0 for an unknown name."""
+        entry = self._levels.get(name)
+        return 0 if entry is None else entry.compute_level(now)
 
     def read_lowest(self, names: Iterable[str], now: float) -> int:
-        """Return the lowest level among several names."""
+        """Return the lowest level among the names, or 0 for no names."""
         return min((self.read(name, now) for name in names), default=0)
 
     def _remove_stale(self, now: float) -> None:
         self._levels = {
-            name: known
-            for name, known in self._levels.items()
-            if known.compute_level(now) > 0
+            name: entry
+            for name, entry in self._levels.items()
+            if entry.compute_level(now) > 0
         }
