--- a/merlintrail/state/__init__.py
+++ b/merlintrail/state/__init__.py
@@ -2,13 +2,6 @@
 
 from merlintrail.state._admission import Admission, Claim
 from merlintrail.state._call_table import CallRecord, CallTable
-from merlintrail.state._demand import (
-    Choice,
-    Demand,
-    NoTarget,
-    Place,
-    Tier,
-)
 from merlintrail.state._difference import Difference, find_differences
 from merlintrail.state._document import (
     CallerLimits,
@@ -19,6 +12,12 @@
     Service,
     build_configuration,
 )
+from merlintrail.state._downstream_levels import (
+    PathLevels,
+    SheddingMemory,
+    merge_levels,
+    name_place,
+)
 from merlintrail.state._holder import ConfigurationHolder, Envelope
 from merlintrail.state._kinds import RequestKind
 from merlintrail.state._ledger_index import KeyRecord, KeyState, LedgerIndex
@@ -37,28 +36,22 @@
     read_member,
 )
 from merlintrail.state._message_sizes import MessageSizes
-from merlintrail.state._path_levels import (
-    PathLevels,
-    SheddingMemory,
-    merge_levels,
-    name_place,
-)
 from merlintrail.state._quarantine import (
     Quarantine,
     Suspicion,
     compute_digest,
     read_suspicion,
 )
+from merlintrail.state._refused_requests import (
+    RefusedRequests,
+    compute_pause,
+    raise_priority,
+)
 from merlintrail.state._retry_account import (
     RetryAccount,
     RetryBudget,
     RetryBudgets,
 )
-from merlintrail.state._returns import (
-    RefusedRequests,
-    compute_pause,
-    raise_priority,
-)
 from merlintrail.state._routes import (
     Route,
     RouteSplitter,
@@ -66,6 +59,13 @@
     ServiceShare,
 )
 from merlintrail.state._routing import RoutingTable
+from merlintrail.state._routing_request import (
+    Choice,
+    Demand,
+    NoTarget,
+    Place,
+    Tier,
+)
 from merlintrail.state._shedding import (
     SheddingController,
     SheddingLevelTable,
--- a/merlintrail/state/_routing.py
+++ b/merlintrail/state/_routing.py
@@ -4,17 +4,17 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 from typing import Final, NamedTuple
 
-from merlintrail.state._demand import (
+from merlintrail.state._data_centre_outcomes import PlaceOutcomes
+from merlintrail.state._downstream_levels import PathLevels
+from merlintrail.state._links import LinkAllowance
+from merlintrail.state._members import Member, MemberStatus, ServiceOffer
+from merlintrail.state._routing_request import (
     Choice,
     Demand,
     NoTarget,
     Place,
     Tier,
 )
-from merlintrail.state._links import LinkAllowance
-from merlintrail.state._members import Member, MemberStatus, ServiceOffer
-from merlintrail.state._path_levels import PathLevels
-from merlintrail.state._place_outcomes import PlaceOutcomes
 from merlintrail.state._shedding import is_shed
 from merlintrail.state._targets import Target
 
