--- a/merlintrail/bench/_capacity.py
+++ b/merlintrail/bench/_capacity.py
@@ -19,11 +19,11 @@
 from merlintrail.protocol import encode_json
 from merlintrail.state import (
     Choice,
-    Demand,
     Member,
     MemberStatus,
     MemberTable,
-    Place,
+    NodeLocation,
+    RoutingRequest,
     RoutingTable,
     ServiceOffer,
 )
@@ -108,13 +108,13 @@
 def _choose_often(routing: RoutingTable) -> None:
     for number in range(_CHOICES):
         choice = routing.choose(
-            Demand(f'service-{number % SERVICES}', 64, 5), ()
+            RoutingRequest(f'service-{number % SERVICES}', 64, 5), ()
         )
         assert isinstance(choice, Choice)
 
 
 def _create_routing(table: MemberTable) -> RoutingTable:
-    place = Place('instance-0000', 'data-centre-0')
+    place = NodeLocation('instance-0000', 'data-centre-0')
     routing = RoutingTable(place, time.monotonic, random.Random(1))
     routing.update_regions(
         {
--- a/merlintrail/console/_fleet.py
+++ b/merlintrail/console/_fleet.py
@@ -28,5 +28,5 @@
         status: Mapping[str, Any] = answer
         return status
 
-    members = node.table.list_present()
+    members = node.table.list_active()
     return await asyncio.gather(*(ask(member) for member in members))
--- a/merlintrail/coordination/_heartbeat.py
+++ b/merlintrail/coordination/_heartbeat.py
@@ -171,7 +171,7 @@
         if isinstance(difference, DecodeFailure):
             return False
         envelope = merge_difference(difference, holder.envelope)
-        return envelope is not None and holder.offer(envelope)
+        return envelope is not None and holder.apply_if_newer(envelope)
 
     def spread(self) -> None:
         """Send to every neighbour at once, as after a new generation."""
@@ -194,7 +194,7 @@
         differences = 0
         while True:
             member = self._membership.table.find(node_id)
-            if member is None or member.is_gone:
+            if member is None or member.has_departed:
                 return
             sent_at = self._clock()
             reply = await self._exchange(member, is_fresh=is_fresh)
@@ -327,7 +327,7 @@
                     'reason': 'suspicion not refuted',
                 },
             )
-        self._membership.table.forget_gone()
+        self._membership.table.remove_expired()
         if self._membership.table.digest != self._refreshed_digest:
             self._refreshed_digest = self._membership.table.digest
             self.refresh_neighbours()
--- a/merlintrail/coordination/_membership.py
+++ b/merlintrail/coordination/_membership.py
@@ -78,7 +78,7 @@
 
     def choose_neighbours(self) -> list[Member]:
         """Return the neighbours among the members present."""
-        return choose_neighbours(self._own, self.table.list_present())
+        return choose_neighbours(self._own, self.table.list_active())
 
     def build_gossip(self, node_id: str) -> Gossip:
         """Build the next message to a neighbour."""
--- a/merlintrail/coordination/_relay.py
+++ b/merlintrail/coordination/_relay.py
@@ -176,7 +176,7 @@
         incarnation = found.document.get('incarnation', 0)
         return any(
             member.peer_address == address and member.incarnation > incarnation
-            for member in self._membership.table.list_present()
+            for member in self._membership.table.list_active()
         )
 
     async def _serve(self, lease: str) -> None:
@@ -247,7 +247,7 @@
         relays = await find_relays(self._store, may_be_stale=True)
         known = {
             member.peer_address
-            for member in self._membership.table.list_present()
+            for member in self._membership.table.list_active()
         }
         unknown = sorted({relay.address for relay in relays} - known)
         if unknown:
@@ -260,7 +260,7 @@
                 'stored document unreadable', extra={'reason': envelope.reason}
             )
             return
-        if self._membership.holder.offer(envelope):
+        if self._membership.holder.apply_if_newer(envelope):
             self._heartbeats.spread()
 
     async def _pause(self) -> None:
--- a/merlintrail/coordination/tests/test_membership.py
+++ b/merlintrail/coordination/tests/test_membership.py
@@ -131,7 +131,7 @@
         async def scenario() -> None:
             world = await start_world()
             first = world.nodes['n0']
-            first.holder.offer(Envelope(7, 'x', 'op', 0.0, DOCUMENT))
+            first.holder.apply_if_newer(Envelope(7, 'x', 'op', 0.0, DOCUMENT))
             first.heartbeats.spread()
             await asyncio.sleep(4)
             for node in world.nodes.values():
@@ -151,7 +151,7 @@
             first.membership.tell_suspicions([suspicion])
             await asyncio.sleep(1)
             for node in world.nodes.values():
-                self.assertTrue(node.quarantine.is_convicted('bad', 0.0))
+                self.assertTrue(node.quarantine.is_quarantined('bad', 0.0))
             world.stop()
 
         run_virtually(scenario())
--- a/merlintrail/node/_answers.py
+++ b/merlintrail/node/_answers.py
@@ -70,7 +70,7 @@
         reason=refusal.reason.value,
         retries=returned,
         level=0,
-        path_levels={},
+        downstream_levels={},
         in_flight=0,
         service_ms=0.0,
         is_draining=False,
--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -26,7 +26,7 @@
     CallTable,
     ConfigurationHolder,
     MemberTable,
-    Place,
+    NodeLocation,
     Quarantine,
     RoutingTable,
 )
@@ -85,7 +85,7 @@
         parts.pool, parts.peers, settings.fleet_key, environment.clock
     )
     routing = RoutingTable(
-        Place(settings.instance, settings.data_centre),
+        NodeLocation(settings.instance, settings.data_centre),
         environment.clock,
         environment.source,
     )
--- a/merlintrail/node/_calls.py
+++ b/merlintrail/node/_calls.py
@@ -61,7 +61,7 @@
 
     answer: HttpResponse | Refusal
     #: Shedding levels of the services that the call met, by place.
-    path_levels: Mapping[str, int]
+    downstream_levels: Mapping[str, int]
     #: Calls made for it, itself and its repeats included.
     calls: int = 1
 
--- a/merlintrail/node/_contexts.py
+++ b/merlintrail/node/_contexts.py
@@ -24,7 +24,7 @@
         #: Retries for the calls below.
         self.account = RetryAccount(header.retries)
         #: Shedding levels of services below, by name.
-        self.path_levels: dict[str, int] = {}
+        self.downstream_levels: dict[str, int] = {}
         #: Whether a call below was refused or failed.
         self.has_failed_below = False
         #: Whether the backend server's own answer says that it failed.
--- a/merlintrail/node/_dispatch.py
+++ b/merlintrail/node/_dispatch.py
@@ -31,16 +31,16 @@
 from merlintrail.state import (
     Choice,
     ConfigurationHolder,
-    Demand,
+    LevelReportFilter,
     MessageSizes,
     NoTarget,
     RetryBudgetSettings,
+    RoutingRequest,
     RoutingTable,
-    SheddingMemory,
     Target,
     Tier,
+    build_level_key,
     merge_levels,
-    name_place,
 )
 from merlintrail.transport import HttpResponse
 
@@ -115,7 +115,7 @@
         self._routing = parts.routing
         self._clock = parts.clock
         self._retries = RetryPolicy(parts.suspicions, parts.clock)
-        self._shedding = SheddingMemory()
+        self._shedding = LevelReportFilter()
         self._sizes = MessageSizes()
 
     def configure_retries(
@@ -170,7 +170,9 @@
         """Take note of what a request met where it was sent."""
         now = self._clock()
         data_centre = target.member.data_centre
-        self._routing.path_levels.record(call.kind, data_centre, levels, now)
+        self._routing.downstream_levels.record(
+            call.kind, data_centre, levels, now
+        )
         answer = gate_result.answer
         has_failed = gate_result.report.is_failure
         if isinstance(answer, Refusal):
@@ -186,9 +188,9 @@
     ) -> dict[str, int]:
         """Return the levels that an attempt met, its own server's too."""
         data_centre = target.member.data_centre
-        place = name_place(target.offer.service, data_centre)
-        levels = dict(report.path_levels)
-        if self._shedding.should_tell(place, report.level, self._clock()):
+        place = build_level_key(target.offer.service, data_centre)
+        levels = dict(report.downstream_levels)
+        if self._shedding.should_report(place, report.level, self._clock()):
             levels[place] = report.level
         return levels
 
@@ -208,11 +210,11 @@
         configuration = self._parts.holder.current
         service = configuration and configuration.services.get(call.service)
         warmup_s = service.warmup_s if service else 0.0
-        demand = Demand(
+        demand = RoutingRequest(
             call.service,
             call.priority,
             warmup_s,
-            is_below=call.depth > 1,
+            is_nested=call.depth > 1,
             kind=call.kind,
             size=self._sizes.read(_name_size(call)),
         )
@@ -250,7 +252,7 @@
 
     async def _attempt(self, call: OutgoingCall, choice: Choice) -> GateResult:
         target = choice.target
-        share = call.account.lend()
+        share = call.account.reserve_share()
         header = self._build_header(call, target, share)
         started_at = self._clock()
         target.in_flight += 1
@@ -263,7 +265,7 @@
         if isinstance(gate_result.answer, HttpResponse):
             size = len(call.body) + len(gate_result.answer.body)
             self._sizes.record(_name_size(call), size + HEADER_BYTES)
-        call.account.restore(share, report.retries)
+        call.account.refund(share, report.retries)
         if report.call_id:
             target.record_report(report, now - started_at, now)
         self._parts.suspicions.take(report.suspicion)
@@ -315,7 +317,7 @@
         if is_lone_loss:
             return
         if answer.reason in _CLOSED:
-            target.pass_over(self._clock())
+            target.suspend(self._clock())
         if answer.reason not in _FAILURES:
             return
         pause_s = self._routing.record_failure(target)
--- a/merlintrail/node/_gate.py
+++ b/merlintrail/node/_gate.py
@@ -8,7 +8,7 @@
 from merlintrail.protocol import Outcome, Reason, Refusal
 from merlintrail.state import (
     AdaptiveLimit,
-    Admission,
+    AdmissionController,
     SheddingController,
     create_limit,
 )
@@ -24,7 +24,7 @@
         self.backend = BackendServer(announcement, now)
         self.limit: AdaptiveLimit = create_limit(announcement.slots, now)
         self.shedder = SheddingController(now)
-        self.admission = Admission(
+        self.admission = AdmissionController(
             self.limit, self.shedder, clock, _DEFAULT_QUEUE_LIMIT_S
         )
         #: Held by the one suspect that runs.
--- a/merlintrail/node/_gatekeeper.py
+++ b/merlintrail/node/_gatekeeper.py
@@ -24,11 +24,11 @@
     Refusal,
 )
 from merlintrail.state import (
+    AdmissionRequest,
     CallTable,
-    Claim,
     Configuration,
     PlannedStop,
-    outlasts_start,
+    overlaps_planned_stop,
 )
 from merlintrail.transport import HttpResponse
 
@@ -136,7 +136,7 @@
         async with gate.suspect_lock:
             answer = await self._admit(gate, call, parent)
         if isinstance(answer, HttpResponse):
-            self._parts.suspicions.acquit(suspicion)
+            self._parts.suspicions.clear_suspect(suspicion)
         return answer
 
     async def _admit(
@@ -177,7 +177,7 @@
         refusal = gate.check_ready(self._clock())
         if refusal is not None:
             return refusal
-        if outlasts_start(
+        if overlaps_planned_stop(
             self.planned_stop, self._parts.wall_clock(), remaining_s
         ):
             return Refusal(Outcome.NOT_RUN, Reason.PLANNED_STOP)
@@ -216,7 +216,7 @@
             reason,
             parent.account.balance,
             0 if gate is None else gate.shedder.read_level(self._clock()),
-            parent.path_levels,
+            parent.downstream_levels,
             0 if gate is None else self.running,
             0
             if gate is None
@@ -265,12 +265,12 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _build_claim(parent: ParentCall) -> Claim:
+def _build_claim(parent: ParentCall) -> AdmissionRequest:
     header = parent.header
     objective_s: float | None = None
     if header.objective_ms is not None:
         objective_s = header.objective_ms / _MS_PER_S
-    return Claim(
+    return AdmissionRequest(
         header.priority,
         parent.deadline,
         header.depth > 1,
--- a/merlintrail/node/_ingress.py
+++ b/merlintrail/node/_ingress.py
@@ -28,10 +28,10 @@
     ConfigurationHolder,
     RefusedRequests,
     RetryAccount,
-    compute_pause,
-    find_stop,
+    compute_retry_after,
+    find_planned_stop,
     merge_levels,
-    outlasts_start,
+    overlaps_planned_stop,
     raise_priority,
 )
 from merlintrail.transport import HttpRequest, HttpResponse
@@ -148,7 +148,7 @@
         if refusal is not None:
             self._log_refusal(call.request_id, call.kind, refusal)
             return self._say_when(refusal, call.objective_ms)
-        if self._refused and self._refused.take(
+        if self._refused and self._refused.pop(
             compute_call_digest(call), self._clock()
         ):
             call = call._replace(priority=raise_priority(call.priority))
@@ -163,7 +163,7 @@
         self, refusal: Refusal, objective_ms: float | None
     ) -> Refusal:
         """Tell a refused caller when to come back."""
-        pause_s = compute_pause(
+        pause_s = compute_retry_after(
             refusal.retry_after_s,
             None if objective_ms is None else objective_ms / _MS_PER_S,
             self._parts.source.random(),
@@ -176,14 +176,14 @@
         if self.is_closed:
             return Refusal(Outcome.NOT_RUN, Reason.DRAINING)
         wall_time = self._parts.wall_clock()
-        stop = find_stop(
+        stop = find_planned_stop(
             configuration,
             self._parts.instance,
             self._parts.data_centre,
             wall_time,
         )
         remaining_s = call.deadline - self._clock()
-        if outlasts_start(stop, wall_time, remaining_s):
+        if overlaps_planned_stop(stop, wall_time, remaining_s):
             return Refusal(Outcome.NOT_RUN, Reason.PLANNED_STOP)
         if self._parts.suspicions.is_convicted(call):
             return Refusal(Outcome.NOT_RUN, Reason.QUARANTINED)
@@ -197,17 +197,17 @@
             parent.has_failed_below = True
             self._log_refusal(call.request_id, call.kind, refusal)
             return refusal
-        share = parent.account.lend()
+        share = parent.account.reserve_share()
         child = call._replace(account=RetryAccount(share))
         parent.enter_child(self._clock())
         try:
             call_result = await self._send(child)
         finally:
             parent.leave_child(self._clock())
-        parent.account.restore(share, child.account.balance)
+        parent.account.refund(share, child.account.balance)
         parent.calls_below += call_result.calls
-        parent.path_levels = merge_levels(
-            parent.path_levels, call_result.path_levels
+        parent.downstream_levels = merge_levels(
+            parent.downstream_levels, call_result.downstream_levels
         )
         if isinstance(call_result.answer, Refusal):
             parent.has_failed_below = True
--- a/merlintrail/node/_keyed.py
+++ b/merlintrail/node/_keyed.py
@@ -115,7 +115,7 @@
             call_result = await self._parts.dispatcher.dispatch(
                 self._extend_deadline(call)
             )
-            levels.update(call_result.path_levels)
+            levels.update(call_result.downstream_levels)
             return call_result.answer
 
         request = KeyedRequest(
@@ -144,7 +144,7 @@
             '' if refusal is None else refusal.reason.value,
             call.account.balance,
             level=0,
-            path_levels=call_result.path_levels,
+            downstream_levels=call_result.downstream_levels,
             in_flight=self.ledger.running,
             service_ms=0.0,
             is_draining=False,
@@ -154,7 +154,7 @@
     async def recall(self, record: KeyRecord) -> HttpResponse | Refusal | None:
         """Ask an earlier owner for the answer to a key."""
         member = self._parts.table.find(record.owner)
-        if member is None or member.is_gone:
+        if member is None or member.has_departed:
             return None
         answer = await self._parts.peers.ask(
             member.peer_address,
@@ -217,7 +217,7 @@
     async def _send_to_owner(
         self, call: OutgoingCall, owner: Member
     ) -> CallResult:
-        share = call.account.lend_all()
+        share = call.account.reserve_all()
         remaining_s = call.deadline - self._parts.clock()
         header = CallHeader(
             call.request_id,
@@ -235,8 +235,10 @@
         )
         answer = await self._parts.exchange.send(owner, header, call, USUAL_S)
         gate_result = read_peer_answer(header, answer)
-        call.account.restore(share, gate_result.report.retries)
-        return CallResult(gate_result.answer, gate_result.report.path_levels)
+        call.account.refund(share, gate_result.report.retries)
+        return CallResult(
+            gate_result.answer, gate_result.report.downstream_levels
+        )
 
     def _may_try_next(
         self, call: OutgoingCall, call_result: CallResult, attempt: int
@@ -264,7 +266,7 @@
             return call
         kind = service.find_kind(call.method, call.target.partition('?')[0])
         latest = self._parts.clock() + kind.deadline_ms / _MS_PER_S
-        account = RetryAccount(call.account.lend_all())
+        account = RetryAccount(call.account.reserve_all())
         return call._replace(
             deadline=max(call.deadline, latest), account=account
         )
--- a/merlintrail/node/_lifecycle.py
+++ b/merlintrail/node/_lifecycle.py
@@ -12,7 +12,7 @@
     ConfigurationHolder,
     MemberStatus,
     PlannedStop,
-    find_stop,
+    find_planned_stop,
 )
 
 #: Seconds between looks at the planned stops.
@@ -93,7 +93,7 @@
         if configuration is None:
             return
         now = self._parts.wall_clock()
-        stop = find_stop(
+        stop = find_planned_stop(
             configuration,
             self._parts.instance,
             self._parts.data_centre,
--- a/merlintrail/node/_node.py
+++ b/merlintrail/node/_node.py
@@ -136,7 +136,7 @@
     async def join(self) -> None:
         """Find the configuration and other nodes."""
         await self._joiner.run()
-        self.routing.is_settled = True
+        self.routing.has_initial_members = True
 
     async def run_relay(self) -> None:
         """Watch the store for the data centre while a place is free."""
@@ -187,7 +187,7 @@
             'generation': self.holder.generation,
             'health': self.build_health(),
             'is_relay': self.membership.own.is_relay,
-            'members': len(self.table.list_present()),
+            'members': len(self.table.list_active()),
             'member_digest': f'{self.table.digest:016x}',
             'running': self.ingress.running,
             'backend_servers': describe_backends(
@@ -329,20 +329,20 @@
         region = configuration.regions.get(self.settings.data_centre)
         nodes = sum(
             1
-            for member in self.table.list_present()
+            for member in self.table.list_active()
             if configuration.regions.get(member.data_centre) == region
         )
         self.routing.links.update(configuration.links, nodes)
 
     def _update_retries(self, configuration: Configuration) -> None:
         self.dispatcher.configure_retries(
-            configuration.retry_budget, len(self.table.list_present())
+            configuration.retry_budget, len(self.table.list_active())
         )
 
     def _drop_connections(self, known: Member | None, member: Member) -> None:
         """Close idle connections to a process that is gone."""
         is_other = known is not None and known.incarnation < member.incarnation
-        if member.is_gone or is_other:
+        if member.has_departed or is_other:
             self._pool.drop_idle(member.peer_address)
             self._peer_pool.drop_idle(member.peer_address)
 
--- a/merlintrail/node/_peer_service.py
+++ b/merlintrail/node/_peer_service.py
@@ -177,7 +177,7 @@
             return inquiry
         if inquiry.incarnation != self._parts.incarnation:
             return InquiryAnswer(InquiryState.OTHER_INCARNATION.value)
-        known = self._parts.calls.inquire(inquiry.call_id)
+        known = self._parts.calls.find_or_tombstone(inquiry.call_id)
         if known.answer is None:
             return InquiryAnswer(known.state.value)
         return InquiryAnswer(
--- a/merlintrail/node/_suspicions.py
+++ b/merlintrail/node/_suspicions.py
@@ -52,9 +52,11 @@
         suspicion = self.find(call)
         return suspicion is not None and suspicion.is_convicted
 
-    def acquit(self, suspicion: Suspicion) -> None:
+    def clear_suspect(self, suspicion: Suspicion) -> None:
         """Clear a suspect that ran to its end."""
-        cleared = self._quarantine.acquit(suspicion.digest, self._wall_clock())
+        cleared = self._quarantine.clear_suspect(
+            suspicion.digest, self._wall_clock()
+        )
         if cleared is not None:
             self._tell([cleared])
 
--- a/merlintrail/node/tests/session.py
+++ b/merlintrail/node/tests/session.py
@@ -80,7 +80,7 @@
             generation, f'change-{generation}', 'op', 0.0, document
         )
         for node in self.nodes.values():
-            node.holder.offer(envelope)
+            node.holder.apply_if_newer(envelope)
 
     def add_backend(
         self, name: str, service: str, handler: BackendHandler, slots: int = 4
--- a/merlintrail/node/tests/test_inquiries.py
+++ b/merlintrail/node/tests/test_inquiries.py
@@ -99,15 +99,17 @@
             session = create_read_write_session('one')
             calls = session.nodes['one'].calls
             self.assertIsNone(calls.begin('early'))
-            self.assertEqual(calls.inquire('early').state, InquiryState.RUNNING)
+            self.assertEqual(
+                calls.find_or_tombstone('early').state, InquiryState.RUNNING
+            )
             self.assertEqual(calls.begin('early'), InquiryState.RUNNING)
             calls.finish('early', HttpResponse(200, (), b'x'))
             self.assertEqual(
-                calls.inquire('early').state, InquiryState.FINISHED
+                calls.find_or_tombstone('early').state, InquiryState.FINISHED
             )
             self.assertEqual(calls.begin('early'), InquiryState.FINISHED)
             self.assertEqual(
-                calls.inquire('late').state, InquiryState.TOMBSTONE
+                calls.find_or_tombstone('late').state, InquiryState.TOMBSTONE
             )
             self.assertEqual(calls.begin('late'), InquiryState.TOMBSTONE)
 
--- a/merlintrail/protocol/_call.py
+++ b/merlintrail/protocol/_call.py
@@ -54,7 +54,7 @@
     #: Shedding level of the backend server: lower priorities are refused.
     level: int
     #: Shedding levels of services further down, by name.
-    path_levels: Mapping[str, int]
+    downstream_levels: Mapping[str, int]
     #: Calls in flight and queued at the backend server.
     in_flight: int
     #: Mean service time in milliseconds.
--- a/merlintrail/state/__init__.py
+++ b/merlintrail/state/__init__.py
@@ -1,6 +1,6 @@
 """What a node knows, and the decisions that it takes on it."""
 
-from merlintrail.state._admission import Admission, Claim
+from merlintrail.state._admission import AdmissionController, AdmissionRequest
 from merlintrail.state._call_table import CallRecord, CallTable
 from merlintrail.state._difference import Difference, find_differences
 from merlintrail.state._document import (
@@ -13,10 +13,10 @@
     build_configuration,
 )
 from merlintrail.state._downstream_levels import (
-    PathLevels,
-    SheddingMemory,
+    DownstreamLevels,
+    LevelReportFilter,
+    build_level_key,
     merge_levels,
-    name_place,
 )
 from merlintrail.state._holder import ConfigurationHolder, Envelope
 from merlintrail.state._kinds import RequestKind
@@ -44,7 +44,7 @@
 )
 from merlintrail.state._refused_requests import (
     RefusedRequests,
-    compute_pause,
+    compute_retry_after,
     raise_priority,
 )
 from merlintrail.state._retry_account import (
@@ -61,9 +61,9 @@
 from merlintrail.state._routing import RoutingTable
 from merlintrail.state._routing_request import (
     Choice,
-    Demand,
+    NodeLocation,
     NoTarget,
-    Place,
+    RoutingRequest,
     Tier,
 )
 from merlintrail.state._shedding import (
@@ -71,7 +71,7 @@
     SheddingLevelTable,
     is_shed,
 )
-from merlintrail.state._stops import find_stop, outlasts_start
+from merlintrail.state._stops import find_planned_stop, overlaps_planned_stop
 from merlintrail.state._targets import Target
 from merlintrail.state._validation import (
     Finding,
@@ -85,17 +85,17 @@
 
 __all__ = (
     'AdaptiveLimit',
-    'Admission',
+    'AdmissionController',
+    'AdmissionRequest',
     'CallRecord',
     'CallTable',
     'CallerLimits',
     'Choice',
-    'Claim',
     'ConcurrencyLimit',
     'Configuration',
     'ConfigurationHolder',
-    'Demand',
     'Difference',
+    'DownstreamLevels',
     'Envelope',
     'Finding',
     'FixedLimit',
@@ -103,15 +103,15 @@
     'KeyState',
     'LedgerIndex',
     'LedgerSettings',
+    'LevelReportFilter',
     'LinkAllowance',
     'Member',
     'MemberStatus',
     'MemberTable',
     'MessageSizes',
     'NoTarget',
+    'NodeLocation',
     'ParsedDocument',
-    'PathLevels',
-    'Place',
     'PlannedStop',
     'Quarantine',
     'RefusedRequests',
@@ -123,28 +123,28 @@
     'Route',
     'RouteSplitter',
     'RouteTable',
+    'RoutingRequest',
     'RoutingTable',
     'Service',
     'ServiceOffer',
     'ServiceShare',
     'SheddingController',
     'SheddingLevelTable',
-    'SheddingMemory',
     'Suspicion',
     'Target',
     'Tier',
     'build_configuration',
+    'build_level_key',
     'compute_digest',
-    'compute_pause',
+    'compute_retry_after',
     'create_limit',
     'find_differences',
+    'find_planned_stop',
     'find_schema_faults',
-    'find_stop',
     'is_shed',
     'load_schema',
     'merge_levels',
-    'name_place',
-    'outlasts_start',
+    'overlaps_planned_stop',
     'parse_document',
     'parse_json_object',
     'raise_priority',
--- a/merlintrail/state/_admission.py
+++ b/merlintrail/state/_admission.py
@@ -1,4 +1,4 @@
-"""Admission to a backend server: slots, a queue by importance, deadlines."""
+"""AdmissionController to a backend server: slots, a queue by importance, deadlines."""
 
 import asyncio
 from collections import deque
@@ -40,14 +40,14 @@
 MAX_RETRY_AFTER_S: Final = 5.0
 
 
-class Claim(NamedTuple):
+class AdmissionRequest(NamedTuple):
     """What decides on the admission of a call."""
 
     priority: int
     #: Clock time at which the answer is due.
     deadline: float
     #: Whether the call was made for another that is running.
-    is_below: bool = False
+    is_nested: bool = False
     #: Seconds within which an answer is worth most, if stated.
     objective_s: float | None = None
     #: Sort of call whose service time is kept apart.
@@ -55,14 +55,14 @@
 
     @property
     def queue(self) -> int:
-        """Place of its queue: by class, calls below others first in each."""
-        return self.priority // SUBLEVELS * 2 + int(self.is_below)
+        """NodeLocation of its queue: by class, calls below others first in each."""
+        return self.priority // SUBLEVELS * 2 + int(self.is_nested)
 
 
 class QueuedCall:
     """A call that waits for a slot."""
 
-    def __init__(self, claim: Claim, latest_start: float) -> None:
+    def __init__(self, claim: AdmissionRequest, latest_start: float) -> None:
         self.claim = claim
         #: Clock time after which the call could not finish in time.
         self.latest_start = latest_start
@@ -71,7 +71,7 @@
         self.decision = asyncio.get_running_loop().create_future()
 
 
-class Admission:
+class AdmissionController:
     """Admits calls to one backend server.
 
     Calls below others go first within their class and wait longer: with
@@ -108,7 +108,7 @@
         """Calls that wait."""
         return sum(len(queue) for queue in self._queues)
 
-    async def admit(self, claim: Claim) -> Refusal | None:
+    async def admit(self, claim: AdmissionRequest) -> Refusal | None:
         """Wait for a slot.
 
         :returns: ``None`` with a slot that must be released, or a refusal.
@@ -122,7 +122,7 @@
             self._take_slot()
             return None
         self.shedder.record_saturation()
-        if not claim.is_below:
+        if not claim.is_nested:
             return await self._wait(claim)
         self._count_waiting(1)
         try:
@@ -167,16 +167,18 @@
         usual_s = self._service_by_sort.get(sort, self.service_s)
         return usual_s * MIN_TIME_LEFT
 
-    def estimate_wait(self, claim: Claim) -> float:
+    def estimate_wait(self, claim: AdmissionRequest) -> float:
         """Estimate the seconds until a call would start."""
         ahead = sum(len(queue) for queue in self._queues[claim.queue :])
         if self.running < self.limit.limit and not ahead:
             return 0.0
         return (ahead + 1) * self.service_s / self.limit.limit
 
-    def _check_arrival(self, now: float, claim: Claim) -> Refusal | None:
+    def _check_arrival(
+        self, now: float, claim: AdmissionRequest
+    ) -> Refusal | None:
         wait_s = self.estimate_wait(claim)
-        if claim.is_below and wait_s > self.service_s * OVERLOAD_WAIT:
+        if claim.is_nested and wait_s > self.service_s * OVERLOAD_WAIT:
             self.shedder.record_overflow()
         service_s = self.estimate_least_service(claim.sort)
         if now + wait_s + service_s > claim.deadline:
@@ -186,13 +188,13 @@
             return self._refuse(Reason.DEADLINE)
         level = self.shedder.read_level(now)
         is_free = self.running < self.limit.limit and not self.queued
-        if claim.is_below or is_free:
+        if claim.is_nested or is_free:
             return None
         if is_shed(claim.priority, level):
             return self._refuse(Reason.OVERLOAD)
         return None
 
-    async def _wait(self, claim: Claim) -> Refusal | None:
+    async def _wait(self, claim: AdmissionRequest) -> Refusal | None:
         service_s = self.estimate_least_service(claim.sort)
         call = QueuedCall(claim, claim.deadline - service_s)
         if not self._make_room(call):
@@ -227,12 +229,12 @@
             pushed_out.decision.set_result(self._refuse(Reason.OVERLOAD))
         return True
 
-    def _list_lesser(self, claim: Claim) -> list[deque[QueuedCall]]:
+    def _list_lesser(self, claim: AdmissionRequest) -> list[deque[QueuedCall]]:
         """Return the queues of lesser classes, but of calls below others."""
         own_class = claim.priority // SUBLEVELS
         return self._queues[: own_class * 2 : 2]
 
-    def _give_up_lesser(self, claim: Claim) -> None:
+    def _give_up_lesser(self, claim: AdmissionRequest) -> None:
         """Refuse what waits behind calls that are refused themselves."""
         for queue in self._list_lesser(claim):
             while queue:
@@ -250,13 +252,13 @@
         claim = call.claim
         remaining_s = call.latest_start - self._clock()
         allowed_s = remaining_s * MAX_WAIT_SHARE
-        if claim.is_below:
+        if claim.is_nested:
             allowed_s = remaining_s * MAX_WAIT_SHARE_BELOW
         elif claim.priority < Importance.CRITICAL * SUBLEVELS:
             allowed_s = min(self._limit_wait(claim), allowed_s)
         return max(1, int(allowed_s * self.limit.limit / self.service_s))
 
-    def _limit_wait(self, claim: Claim) -> float:
+    def _limit_wait(self, claim: AdmissionRequest) -> float:
         if claim.objective_s is not None:
             return claim.objective_s * OBJECTIVE_WAIT_SHARE
         return max(self.queue_limit_s, self.service_s / 2)
@@ -264,9 +266,9 @@
     def _take_next(self) -> QueuedCall | None:
         for place in range(len(self._queues) - 1, -1, -1):
             queue = self._queues[place]
-            is_below = place % 2 == 1
+            is_nested = place % 2 == 1
             while queue:
-                is_overloaded = len(queue) > self.limit.limit and not is_below
+                is_overloaded = len(queue) > self.limit.limit and not is_nested
                 call = queue.pop() if is_overloaded else queue.popleft()
                 if not call.decision.done():
                     return call
--- a/merlintrail/state/_call_table.py
+++ b/merlintrail/state/_call_table.py
@@ -59,7 +59,7 @@
         self._running.discard(call_id)
         self._put_finished(call_id, None)
 
-    def inquire(self, call_id: str) -> CallRecord:
+    def find_or_tombstone(self, call_id: str) -> CallRecord:
         """Say what became of a call; an unknown one gets a tombstone."""
         if call_id in self._running:
             return CallRecord(InquiryState.RUNNING, self._clock())
--- a/merlintrail/state/_data_centre_outcomes.py
+++ b/merlintrail/state/_data_centre_outcomes.py
@@ -20,7 +20,7 @@
     known_at: float
 
 
-class PlaceOutcomes:
+class DataCentreOutcomes:
     """Failing requests by kind and data centre.
 
     A request fails where a service below it is missing, slow or far away,
--- a/merlintrail/state/_downstream_levels.py
+++ b/merlintrail/state/_downstream_levels.py
@@ -11,12 +11,12 @@
 TOLD_AFTER_S: Final = 2.0
 
 
-def name_place(service: str, data_centre: str) -> str:
+def build_level_key(service: str, data_centre: str) -> str:
     """Return the name under which levels of a service are told."""
     return f'{service}@{data_centre}'
 
 
-class PathLevels:
+class DownstreamLevels:
     """Levels of services by data centre, and which kinds reach them.
 
     An answer of any kind tells the levels that it met. They hold for every
@@ -42,7 +42,7 @@
         next request there will meet.
 
         :param data_centre: where the request was sent.
-        :param levels: levels by the names that :func:`name_place` gives.
+        :param levels: levels by the names that :func:`build_level_key` gives.
         """
         met: dict[str, int] = {}
         for place, level in levels.items():
@@ -51,7 +51,9 @@
             self._levels.record(place, level, now)
             met[service] = max(level, met.get(service, 0))
         for service, highest in met.items():
-            self._levels.record(name_place(service, data_centre), highest, now)
+            self._levels.record(
+                build_level_key(service, data_centre), highest, now
+            )
 
     def read(self, kind: str, data_centre: str, now: float) -> int:
         """Return the highest level on the way of a kind in a data centre."""
@@ -63,20 +65,20 @@
                 del reached[name]
         return max(
             (
-                self._levels.read(name_place(service, data_centre), now)
+                self._levels.read(build_level_key(service, data_centre), now)
                 for service in reached
             ),
             default=0,
         )
 
 
-class SheddingMemory:
+class LevelReportFilter:
     """Knows which services shed lately, so that the end is told too."""
 
     def __init__(self) -> None:
         self._shed_at: dict[str, float] = {}
 
-    def should_tell(self, service: str, level: int, now: float) -> bool:
+    def should_report(self, service: str, level: int, now: float) -> bool:
         """Tell whether a level is worth a place in an answer."""
         if level > 0:
             self._shed_at[service] = now
--- a/merlintrail/state/_holder.py
+++ b/merlintrail/state/_holder.py
@@ -51,7 +51,7 @@
         """Have each newly accepted configuration told."""
         self._listeners.append(listener)
 
-    def offer(self, envelope: Envelope) -> bool:
+    def apply_if_newer(self, envelope: Envelope) -> bool:
         """Take a document if it is newer and valid."""
         if envelope.generation <= self.generation:
             return False
--- a/merlintrail/state/_members.py
+++ b/merlintrail/state/_members.py
@@ -25,7 +25,7 @@
     LEFT = 4
 
     @property
-    def is_gone(self) -> bool:
+    def has_departed(self) -> bool:
         """Whether the member takes no further part."""
         return self >= MemberStatus.DEAD
 
@@ -64,7 +64,7 @@
         return (self.incarnation, self.version, self.status)
 
     @property
-    def is_gone(self) -> bool:
+    def has_departed(self) -> bool:
         """Whether the member takes no further part."""
         return self.status >= MemberStatus.DEAD
 
@@ -136,15 +136,15 @@
         """Return what is known of a member."""
         return self._members.get(node_id)
 
-    def list_present(self) -> list[Member]:
+    def list_active(self) -> list[Member]:
         """Return the members that are not gone."""
-        return [member for member in self if not member.is_gone]
+        return [member for member in self if not member.has_departed]
 
     def merge(self, news: Iterable[Member]) -> list[Member]:
         """Take news and return those that were new."""
         return [member for member in news if self._merge_one(member)]
 
-    def forget_gone(self) -> None:
+    def remove_expired(self) -> None:
         """Remove members that have been gone for long."""
         now = self._clock()
         for node_id, since in tuple(self._gone_since.items()):
@@ -161,13 +161,13 @@
         known = self._members.get(member.node_id)
         if known is not None and known.order >= member.order:
             return False
-        if known is None and member.is_gone:
+        if known is None and member.has_departed:
             return False
         if known is not None:
             self._digest ^= compute_member_hash(known)
         self._members[member.node_id] = member
         self._digest ^= compute_member_hash(member)
-        if member.is_gone:
+        if member.has_departed:
             self._gone_since.setdefault(member.node_id, self._clock())
         else:
             self._gone_since.pop(member.node_id, None)
--- a/merlintrail/state/_quarantine.py
+++ b/merlintrail/state/_quarantine.py
@@ -76,7 +76,7 @@
             changed.append(suspicion)
         return changed
 
-    def acquit(self, digest: str, now: float) -> Suspicion | None:
+    def clear_suspect(self, digest: str, now: float) -> Suspicion | None:
         """Clear a suspect that ran to its end; return what to tell others."""
         known = self.find(digest, now)
         if known is None or known.is_convicted:
@@ -92,7 +92,7 @@
             return None
         return known
 
-    def is_convicted(self, digest: str, now: float) -> bool:
+    def is_quarantined(self, digest: str, now: float) -> bool:
         """Tell whether a request is refused everywhere."""
         known = self.find(digest, now)
         return known is not None and known.is_convicted
--- a/merlintrail/state/_refused_requests.py
+++ b/merlintrail/state/_refused_requests.py
@@ -37,7 +37,7 @@
         self._refused_at.move_to_end(digest)
         self._forget(now)
 
-    def take(self, digest: str, now: float) -> bool:
+    def pop(self, digest: str, now: float) -> bool:
         """Tell whether a request was refused before, and forget it."""
         self._forget(now)
         return self._refused_at.pop(digest, None) is not None
@@ -58,7 +58,7 @@
     return priority - place + raised
 
 
-def compute_pause(
+def compute_retry_after(
     retry_after_s: float, objective_s: float | None, draw: float
 ) -> float:
     """Return the seconds after which a refused caller should come back.
--- a/merlintrail/state/_retry_account.py
+++ b/merlintrail/state/_retry_account.py
@@ -35,19 +35,19 @@
         self._balance -= 1
         return True
 
-    def lend(self) -> int:
+    def reserve_share(self) -> int:
         """Take a share for a child call: half, rounded up."""
         share = (self._balance + 1) // 2
         self._balance -= share
         return share
 
-    def lend_all(self) -> int:
+    def reserve_all(self) -> int:
         """Take everything, for a call that is the only one."""
         share = self._balance
         self._balance = 0
         return share
 
-    def restore(self, share: int, returned: int) -> int:
+    def refund(self, share: int, returned: int) -> int:
         """Take back what a child did not spend.
 
         :param share: what was lent to the child.
--- a/merlintrail/state/_routing.py
+++ b/merlintrail/state/_routing.py
@@ -4,15 +4,15 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 from typing import Final, NamedTuple
 
-from merlintrail.state._data_centre_outcomes import PlaceOutcomes
-from merlintrail.state._downstream_levels import PathLevels
+from merlintrail.state._data_centre_outcomes import DataCentreOutcomes
+from merlintrail.state._downstream_levels import DownstreamLevels
 from merlintrail.state._links import LinkAllowance
 from merlintrail.state._members import Member, MemberStatus, ServiceOffer
 from merlintrail.state._routing_request import (
     Choice,
-    Demand,
+    NodeLocation,
     NoTarget,
-    Place,
+    RoutingRequest,
     Tier,
 )
 from merlintrail.state._shedding import is_shed
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        place: Place,
+        place: NodeLocation,
         clock: Callable[[], float],
         source: random.Random,
     ) -> None:
@@ -53,13 +53,13 @@
         self._near: dict[str, list[Target]] = {}
         self._usual_times: dict[str, _UsualTime] = {}
         #: Shedding levels on the way of each request kind.
-        self.path_levels = PathLevels()
+        self.downstream_levels = DownstreamLevels()
         #: How requests fare in each data centre.
-        self.outcomes = PlaceOutcomes()
+        self.outcomes = DataCentreOutcomes()
         #: Allowance of bytes between regions.
         self.links = LinkAllowance()
         #: Whether members that appear are new rather than newly learnt.
-        self.is_settled = False
+        self.has_initial_members = False
 
     def update_regions(self, regions: Mapping[str, str]) -> None:
         """Set the region of each data centre."""
@@ -68,7 +68,7 @@
     def update_member(self, known: Member | None, member: Member) -> None:
         """Take a change of a member."""
         self._near.clear()
-        offers = () if member.is_gone else member.offers
+        offers = () if member.has_departed else member.offers
         offered = {offer.service for offer in offers}
         for service, targets in self._targets.items():
             if service not in offered:
@@ -85,7 +85,7 @@
         return bool(self._targets.get(service))
 
     def choose(
-        self, demand: Demand, tried: Collection[str]
+        self, demand: RoutingRequest, tried: Collection[str]
     ) -> Choice | NoTarget:
         """Choose a backend server.
 
@@ -159,7 +159,7 @@
         targets = self._targets.setdefault(offer.service, {})
         target = targets.get(member.node_id)
         if target is None or target.member.incarnation != member.incarnation:
-            warm_since = self._clock() if self.is_settled else 0.0
+            warm_since = self._clock() if self.has_initial_members else 0.0
             target = Target(member, offer, warm_since)
             targets[member.node_id] = target
         elif offer.is_ready and not target.offer.is_ready:
@@ -168,22 +168,26 @@
         target.offer = offer
         target.is_draining = member.status != MemberStatus.ALIVE
 
-    def _is_willing(self, target: Target, demand: Demand, now: float) -> bool:
+    def _is_willing(
+        self, target: Target, demand: RoutingRequest, now: float
+    ) -> bool:
         """Tell whether a call is not shed on its way through a server."""
-        if demand.is_below:
+        if demand.is_nested:
             return True
         level = self._read_level(target, demand, now)
         return not is_shed(demand.priority, level)
 
-    def _read_level(self, target: Target, demand: Demand, now: float) -> int:
+    def _read_level(
+        self, target: Target, demand: RoutingRequest, now: float
+    ) -> int:
         """Return the highest level that a call meets through a server."""
-        below = self.path_levels.read(
+        below = self.downstream_levels.read(
             demand.kind, target.member.data_centre, now
         )
         return max(target.read_level(now), below)
 
     def _choose_near(
-        self, demand: Demand, tried: Collection[str], now: float
+        self, demand: RoutingRequest, tried: Collection[str], now: float
     ) -> Choice | None:
         """Choose in the own data centre without looking at all servers.
 
@@ -223,7 +227,7 @@
         )
 
     def _choose_nearest(
-        self, targets: Sequence[Target], demand: Demand, now: float
+        self, targets: Sequence[Target], demand: RoutingRequest, now: float
     ) -> Choice | NoTarget:
         by_tier: dict[Tier, list[Target]] = {tier: [] for tier in Tier}
         for target in targets:
@@ -258,7 +262,7 @@
         )
 
     def _choose_remote(
-        self, targets: Sequence[Target], demand: Demand, now: float
+        self, targets: Sequence[Target], demand: RoutingRequest, now: float
     ) -> Choice | NoTarget:
         permitted = [
             target
@@ -278,7 +282,7 @@
         self,
         targets: Sequence[Target],
         tier: Tier,
-        demand: Demand,
+        demand: RoutingRequest,
         now: float,
     ) -> Choice | None:
         if not targets:
@@ -297,10 +301,10 @@
         return Choice(pair[index], tier, load)
 
     def _find_place_load(
-        self, target: Target, demand: Demand, now: float
+        self, target: Target, demand: RoutingRequest, now: float
     ) -> float:
         """Return the load that failing requests in a place stand for."""
-        if demand.is_below:
+        if demand.is_nested:
             return 0.0
         return self.outcomes.compute_load(
             demand.kind, target.member.data_centre, now
--- a/merlintrail/state/_routing_request.py
+++ b/merlintrail/state/_routing_request.py
@@ -19,7 +19,7 @@
     REMOTE = 2
 
 
-class Place(NamedTuple):
+class NodeLocation(NamedTuple):
     """Where a node stands."""
 
     node_id: str
@@ -50,7 +50,7 @@
 BELOW_RULE: Final = SpillRule(1.4, 0.6, 2.0)
 
 
-class Demand(NamedTuple):
+class RoutingRequest(NamedTuple):
     """A call that looks for a backend server."""
 
     service: str
@@ -58,7 +58,7 @@
     #: Seconds over which a cold backend server gets its full share.
     warmup_s: float = 0.0
     #: Whether the call was made for another that is running.
-    is_below: bool = False
+    is_nested: bool = False
     #: Name of the request kind, by which levels further down are known.
     kind: str = ''
     #: Bytes that such a call and its answer take.
@@ -67,7 +67,7 @@
     @property
     def rule(self) -> SpillRule:
         """When the call leaves its data centre."""
-        rule = BELOW_RULE if self.is_below else REQUEST_RULE
+        rule = BELOW_RULE if self.is_nested else REQUEST_RULE
         return rule.add_size(self.size)
 
 
--- a/merlintrail/state/_stops.py
+++ b/merlintrail/state/_stops.py
@@ -9,7 +9,7 @@
 STOP_MARGIN_S: Final = 2.0
 
 
-def find_stop(
+def find_planned_stop(
     configuration: Configuration,
     instance: str,
     data_centre: str,
@@ -24,7 +24,7 @@
     return min(windows, key=lambda stop: stop.starts_at, default=None)
 
 
-def outlasts_start(
+def overlaps_planned_stop(
     stop: PlannedStop | None, wall_time_s: float, remaining_s: float
 ) -> bool:
     """Tell whether a call could still run when the window starts."""
--- a/merlintrail/state/_targets.py
+++ b/merlintrail/state/_targets.py
@@ -119,7 +119,7 @@
         self._failures += 1
         return self._failures >= FAILURES_TO_EJECT
 
-    def pass_over(self, now: float) -> None:
+    def suspend(self, now: float) -> None:
         """Send nothing there until news of the member had time to come."""
         self.ejected_until = max(self.ejected_until, now + PASS_OVER_S)
 
--- a/merlintrail/state/tests/test_admission.py
+++ b/merlintrail/state/tests/test_admission.py
@@ -9,26 +9,31 @@
 
 from merlintrail.protocol import SUBLEVELS, Importance, Reason, Refusal
 from merlintrail.state import (
-    Admission,
-    Claim,
+    AdmissionController,
+    AdmissionRequest,
     FixedLimit,
     SheddingController,
 )
 from merlintrail.testing import run_virtually
 
 
-def _create_admission(slots: int) -> Admission:
+def _create_admission(slots: int) -> AdmissionController:
     clock = asyncio.get_running_loop().time
-    return Admission(FixedLimit(slots), SheddingController(clock()), clock, 0.1)
+    return AdmissionController(
+        FixedLimit(slots), SheddingController(clock()), clock, 0.1
+    )
 
 
 async def _hold(
-    admission: Admission, importance: int, held_s: float, patience_s: float
+    admission: AdmissionController,
+    importance: int,
+    held_s: float,
+    patience_s: float,
 ) -> Refusal | None:
     """Ask for a slot, hold it, and return the refusal if there was one."""
     loop = asyncio.get_running_loop()
     refusal = await admission.admit(
-        Claim(importance * SUBLEVELS, loop.time() + patience_s)
+        AdmissionRequest(importance * SUBLEVELS, loop.time() + patience_s)
     )
     if refusal is None:
         await asyncio.sleep(held_s)
@@ -37,8 +42,8 @@
     return refusal
 
 
-class AdmissionTest(unittest.TestCase):
-    """Admission to one backend server."""
+class AdmissionControllerTest(unittest.TestCase):
+    """AdmissionController to one backend server."""
 
     def test_important_arrival_pushes_out_lesser(self) -> None:
         """The least important call that waits makes room."""
--- a/merlintrail/state/tests/test_load_decisions.py
+++ b/merlintrail/state/tests/test_load_decisions.py
@@ -7,18 +7,18 @@
 from merlintrail.protocol import SUBLEVELS, CallReport, Importance
 from merlintrail.state import (
     Choice,
-    Demand,
     Member,
     MemberStatus,
     MessageSizes,
+    NodeLocation,
     NoTarget,
-    Place,
     RefusedRequests,
     RetryBudget,
+    RoutingRequest,
     RoutingTable,
     ServiceOffer,
     SheddingController,
-    compute_pause,
+    compute_retry_after,
     is_shed,
     raise_priority,
 )
@@ -86,7 +86,7 @@
     def setUp(self) -> None:
         self.now = 100.0
         self.table = RoutingTable(
-            Place('self', 'a1'), lambda: self.now, random.Random(1)
+            NodeLocation('self', 'a1'), lambda: self.now, random.Random(1)
         )
         self.table.update_regions(_REGIONS)
         for data_centre in _REGIONS:
@@ -111,9 +111,11 @@
             )
             target.record_report(report, 0.05, self.now)
 
-    def choose(self, *, is_below: bool = False, size: float = 0) -> str:
+    def choose(self, *, is_nested: bool = False, size: float = 0) -> str:
         """Return the node that is chosen, empty for none."""
-        demand = Demand('svc', _NORMAL, is_below=is_below, kind='k', size=size)
+        demand = RoutingRequest(
+            'svc', _NORMAL, is_nested=is_nested, kind='k', size=size
+        )
         choice = self.table.choose(demand, ())
         return (
             choice.target.member.node_id if isinstance(choice, Choice) else ''
@@ -123,9 +125,9 @@
         """A request leaves a full server, a call below it does not."""
         self.load({'a1': 10})
         self.assertEqual(self.choose(), 'a2')
-        self.assertEqual(self.choose(is_below=True), 'a1')
+        self.assertEqual(self.choose(is_nested=True), 'a1')
         self.load({'a1': 20})
-        self.assertEqual(self.choose(is_below=True), 'a2')
+        self.assertEqual(self.choose(is_nested=True), 'a2')
 
     def test_large_messages_need_more_room_elsewhere(self) -> None:
         """Bytes between regions cost as load does."""
@@ -135,16 +137,18 @@
 
     def test_levels_further_down_choose_the_place(self) -> None:
         """A place whose deep service sheds is left for another."""
-        self.table.path_levels.record(
+        self.table.downstream_levels.record(
             'k', 'a1', {'deep@a1': _NORMAL + 31}, self.now
         )
         self.assertEqual(self.choose(), 'a2')
-        self.table.path_levels.record(
+        self.table.downstream_levels.record(
             'k', 'a2', {'deep@a2': _NORMAL + 31}, self.now
         )
         self.assertEqual(self.choose(), 'b1')
         self.load({'b1': 10})
-        refused = self.table.choose(Demand('svc', _NORMAL, kind='k'), ())
+        refused = self.table.choose(
+            RoutingRequest('svc', _NORMAL, kind='k'), ()
+        )
         assert isinstance(refused, NoTarget), refused
         self.assertTrue(refused.is_shedding)
 
@@ -153,7 +157,9 @@
         for _ in range(20):
             self.table.outcomes.record('k', 'a1', has_failed=True, now=self.now)
         self.assertEqual(self.choose(), 'a2')
-        other = self.table.choose(Demand('svc', _NORMAL, kind='other'), ())
+        other = self.table.choose(
+            RoutingRequest('svc', _NORMAL, kind='other'), ()
+        )
         assert isinstance(other, Choice)
         self.assertEqual(other.target.member.node_id, 'a1')
         self.now += 12
@@ -164,14 +170,14 @@
         near = self.table.list_targets('svc')[0]
         for _ in range(20):
             near.record_health(has_failed=True, now=self.now)
-        self.assertEqual(self.choose(is_below=True), 'a2')
+        self.assertEqual(self.choose(is_nested=True), 'a2')
         self.now += 30
-        self.assertEqual(self.choose(is_below=True), 'a1')
+        self.assertEqual(self.choose(is_nested=True), 'a1')
         self.now += 1
         self.load({})
         slow = CallReport('c', 'completed', '', 0, 0, {}, 9, 500, False)
         near.record_report(slow, 0.5, self.now)
-        self.assertEqual(self.choose(is_below=True), 'a2')
+        self.assertEqual(self.choose(is_nested=True), 'a2')
 
     def test_servers_of_a_region_that_lose_answers(self) -> None:
         """Two of five lost: calls cross regions; one of ten: they do not."""
@@ -192,7 +198,7 @@
         chosen: Counter[str] = Counter()
         for _ in range(120):
             self.now += 0.05
-            name = self.choose(is_below=True)
+            name = self.choose(is_nested=True)
             chosen[name] += 1
             is_lost = name != 'b1' and draw.random() < lost_share
             targets[name].record_health(has_failed=is_lost, now=self.now)
@@ -214,21 +220,21 @@
         """Within its class, and only while it is remembered."""
         refused = RefusedRequests()
         refused.record('digest', 1.0)
-        self.assertTrue(refused.take('digest', 2.0))
-        self.assertFalse(refused.take('digest', 2.0))
+        self.assertTrue(refused.pop('digest', 2.0))
+        self.assertFalse(refused.pop('digest', 2.0))
         refused.record('digest', 3.0)
-        self.assertFalse(refused.take('digest', 14.0))
+        self.assertFalse(refused.pop('digest', 14.0))
         self.assertEqual(raise_priority(_NORMAL + 3), _NORMAL + 19)
         self.assertEqual(raise_priority(_NORMAL + 30), _NORMAL + 31)
 
     def test_pause_leaves_time_for_an_answer(self) -> None:
         """A part of the objective, spread; a second or more without one."""
         for draw in (0.0, 0.5, 1.0):
-            pause_s = compute_pause(1.0, 2.0, draw)
+            pause_s = compute_retry_after(1.0, 2.0, draw)
             self.assertGreaterEqual(pause_s, 0.4)
             self.assertLessEqual(pause_s, 1.0)
-        self.assertEqual(compute_pause(1.0, 0.01, 0.5), 0.1)
-        self.assertEqual(compute_pause(1.0, None, 0.5), 2.0)
+        self.assertEqual(compute_retry_after(1.0, 0.01, 0.5), 0.1)
+        self.assertEqual(compute_retry_after(1.0, None, 0.5), 2.0)
 
 
 class RetryBudgetTest(unittest.TestCase):
--- a/merlintrail/state/tests/test_quarantine.py
+++ b/merlintrail/state/tests/test_quarantine.py
@@ -39,7 +39,7 @@
         """The acquittal reaches the others, but frees no convict."""
         self.here.record_death('one', ['good'], _EXPIRY)
         self.tell(self.here, self.there)
-        acquittal = self.there.acquit('good', 0.0)
+        acquittal = self.there.clear_suspect('good', 0.0)
         assert acquittal is not None
         self.assertTrue(self.here.merge(acquittal, 0.0))
         self.assertIsNone(self.here.find('good', 0.0))
--- a/merlintrail/state/tests/test_retry_account.py
+++ b/merlintrail/state/tests/test_retry_account.py
@@ -26,12 +26,12 @@
                 self.retries += 1
 
     def _attempt(self, account: RetryAccount, depth: int) -> bool:
-        share = account.lend()
+        share = account.reserve_share()
         child = RetryAccount(share)
         self.call(child, depth - 1)
         fate = self._source.choice(('answer', 'failure', 'lost', 'forged'))
         returned = {'lost': 0, 'forged': 1000}.get(fate, child.balance)
-        account.restore(share, min(returned, child.balance))
+        account.refund(share, min(returned, child.balance))
         return fate == 'answer'
 
 
@@ -50,15 +50,15 @@
     def test_returns_no_more_than_lent(self) -> None:
         """A peer cannot make retries by claiming that some are left."""
         account = RetryAccount(4)
-        share = account.lend()
-        self.assertEqual(account.restore(share, 1000), share)
+        share = account.reserve_share()
+        self.assertEqual(account.refund(share, 1000), share)
         self.assertEqual(account.balance, 4)
 
     def test_lost_answer_spends_the_share(self) -> None:
         """What left with a lost call does not come back."""
         account = RetryAccount(1)
-        self.assertEqual(account.lend(), 1)
-        account.restore(1, 0)
+        self.assertEqual(account.reserve_share(), 1)
+        account.refund(1, 0)
         self.assertFalse(account.spend())
 
 
--- a/merlintrail/state/tests/test_routing.py
+++ b/merlintrail/state/tests/test_routing.py
@@ -6,12 +6,12 @@
 from merlintrail.protocol import CallReport
 from merlintrail.state import (
     Choice,
-    Demand,
     LinkAllowance,
     Member,
     MemberStatus,
+    NodeLocation,
     NoTarget,
-    Place,
+    RoutingRequest,
     RoutingTable,
     ServiceOffer,
     Target,
@@ -47,7 +47,7 @@
     def setUp(self) -> None:
         self.now = 100.0
         self.table = RoutingTable(
-            Place('self', 'a1'), lambda: self.now, random.Random(1)
+            NodeLocation('self', 'a1'), lambda: self.now, random.Random(1)
         )
         self.table.update_regions(_REGIONS)
         for node_id, data_centre in (
@@ -59,7 +59,7 @@
 
     def choose(self, priority: int, *tried: str) -> Choice | NoTarget:
         """Choose for a call."""
-        return self.table.choose(Demand('svc', priority), tried)
+        return self.table.choose(RoutingRequest('svc', priority), tried)
 
     def find(self, node_id: str) -> Target:
         """Return the target at a node."""
@@ -111,7 +111,7 @@
 
     def test_cold_server_gets_a_small_share(self) -> None:
         """A new incarnation starts slowly once the table is settled."""
-        self.table.is_settled = True
+        self.table.has_initial_members = True
         colder = _build_member('near', 'a1', 2)._replace(incarnation=2)
         self.table.update_member(None, colder)
         cold_load = self.find('near').compute_load(self.now, 10.0)
--- a/merlintrail/state/tests/test_validation.py
+++ b/merlintrail/state/tests/test_validation.py
@@ -132,11 +132,11 @@
         document = load_example()
         for generation, accepted in ((3, True), (2, False), (3, False)):
             envelope = Envelope(generation, 'x', 'op', 0.0, document)
-            self.assertEqual(holder.offer(envelope), accepted)
+            self.assertEqual(holder.apply_if_newer(envelope), accepted)
         self.assertEqual(holder.generation, 3)
 
     def test_invalid_document_is_not_put_in_force(self) -> None:
         """What the store holds is checked like any other text."""
         holder = ConfigurationHolder()
-        self.assertFalse(holder.offer(Envelope(9, 'x', 'op', 0.0, {})))
+        self.assertFalse(holder.apply_if_newer(Envelope(9, 'x', 'op', 0.0, {})))
         self.assertIsNone(holder.current)
