--- a/merlintrail/state/_admission.py
+++ b/merlintrail/state/_admission.py
@@ -1,4 +1,4 @@
-"""AdmissionController to a backend server: slots, a queue by importance, deadlines."""
+"""Admission control of a backend server: slots, queues and deadlines."""
 
 import asyncio
 from collections import deque
@@ -15,58 +15,66 @@
 from merlintrail.state._limits import ConcurrencyLimit
 from merlintrail.state._shedding import SheddingController, is_shed
 
-#: Weight of a new sample in the mean service time. A rise is followed
-#: faster than a fall, so that the queue shortens as soon as calls slow down.
-RISE_WEIGHT: Final = 0.2
-FALL_WEIGHT: Final = 0.05
-#: Weight of a new sample in the service time of one sort of calls.
-SORT_WEIGHT: Final = 0.1
-#: Part of the usual service time that must be left to begin a call; many
-#: calls take less than usual.
-MIN_TIME_LEFT: Final = 0.7
-#: Service time assumed before the first call, in seconds.
+#: Weights of a new sample in the moving average of the service time. An
+#: increase is followed faster than a decrease, so that the queue becomes
+#: shorter as soon as calls slow down.
+INCREASE_WEIGHT: Final = 0.2
+DECREASE_WEIGHT: Final = 0.05
+#: Weight of a new sample in the average service time of one call class.
+CALL_CLASS_WEIGHT: Final = 0.1
+#: Share of the average service time that must remain before the deadline
+#: for a call to start. It is below 1 because many calls take less time than
+#: the average.
+MIN_SERVICE_TIME_SHARE: Final = 0.7
+#: Average service time in seconds that is assumed before the first sample.
 INITIAL_SERVICE_S: Final = 0.005
-#: Share of the remaining time that may pass in the queue.
+#: Largest share of its remaining time that a call may wait in the queue.
 MAX_WAIT_SHARE: Final = 0.5
-#: The same for a call below another, whose work would be lost with it.
-MAX_WAIT_SHARE_BELOW: Final = 0.8
-#: Wait of calls below others, in service times, that shows an overload.
-OVERLOAD_WAIT: Final = 0.5
-#: Share of the objective that a call may wait before it is refused.
+#: The same for a nested call. It is larger because the refusal of a nested
+#: call wastes the work already done for its request.
+MAX_NESTED_WAIT_SHARE: Final = 0.8
+#: Estimated wait of a nested call, in average service times, above which
+#: its arrival counts as an overflow.
+NESTED_OVERFLOW_SERVICE_TIMES: Final = 0.5
+#: Largest share of its objective that a call may wait in the queue.
 OBJECTIVE_WAIT_SHARE: Final = 0.125
-#: Sorts of calls whose service times are kept.
-MAX_SORTS: Final = 256
-#: Longest pause that a refused caller is asked for, in seconds.
+#: Number of call classes above which the averages by class are discarded.
+MAX_CALL_CLASSES: Final = 256
+#: Longest time in seconds after which a refused caller is asked to retry.
 MAX_RETRY_AFTER_S: Final = 5.0
 
 
 class AdmissionRequest(NamedTuple):
-    """What decides on the admission of a call."""
+    """The properties of a call that determine whether it is admitted."""
 
     priority: int
     #: Clock time at which the answer is due.
     deadline: float
-    #: Whether the call was made for another that is running.
+    #: Whether a backend server makes the call while it serves a request.
     is_nested: bool = False
-    #: Seconds within which an answer is worth most, if stated.
+    #: Time in seconds within which an answer has its full value, if stated.
     objective_s: float | None = None
-    #: Sort of call whose service time is kept apart.
-    sort: str = ''
+    #: Class of calls with a similar service time; each has its own average.
+    call_class: str = ''
 
     @property
-    def queue(self) -> int:
-        """NodeLocation of its queue: by class, calls below others first in each."""
+    def queue_index(self) -> int:
+        """Index of the queue of the call; higher queues are served first.
+
+        Each importance class has two queues. The one for nested calls has
+        precedence over the other.
+        """
         return self.priority // SUBLEVELS * 2 + int(self.is_nested)
 
 
 class QueuedCall:
     """A call that waits for a slot."""
 
-    def __init__(self, claim: AdmissionRequest, latest_start: float) -> None:
-        self.claim = claim
-        #: Clock time after which the call could not finish in time.
+    def __init__(self, request: AdmissionRequest, latest_start: float) -> None:
+        self.request = request
+        #: Clock time after which the call is not expected to finish in time.
         self.latest_start = latest_start
-        #: Resolves to ``None`` with a slot, or to a refusal.
+        #: Resolves to ``None`` when the call gets a slot, or to a refusal.
         self.decision: asyncio.Future[Refusal | None]
         self.decision = asyncio.get_running_loop().create_future()
 
@@ -74,12 +82,19 @@
 class AdmissionController:
     """Admits calls to one backend server.
 
-    Calls below others go first within their class and wait longer: with
-    them the work already done for their request would be lost. An arrival
-    that finds the queue full pushes out the least important call that
-    waits. Within a class the newest call goes first while the queue is
-    overloaded, so that the queue does not serve calls whose callers are
-    about to give up.
+    Calls that find no free slot wait in queues, two for each importance
+    class. Nested calls have the first of them, which has precedence. They
+    may also wait longer than other calls and are never evicted, because the
+    work already done for their request would be wasted.
+
+    A call that finds the queue full evicts the oldest waiting call of the
+    lowest importance below its own. If calls of its own and higher precedence
+    fill the queue, it is refused instead.
+
+    Calls that are not nested are served in last-in, first-out order while
+    their queue holds more calls than there are slots. First-in, first-out
+    order would then spend the slots on calls whose callers are about to
+    time out.
     """
 
     def __init__(
@@ -91,53 +106,56 @@
     ) -> None:
         self.limit = limit
         self.shedder = shedder
+        #: Longest wait in seconds of a call that is neither nested nor
+        #: critical and states no objective.
         self.queue_limit_s = queue_limit_s
-        #: Calls that hold a slot.
+        #: Number of calls that hold a slot.
         self.running = 0
-        #: Mean time in seconds for which a call holds its slot.
+        #: Average time in seconds for which a call holds its slot.
         self.service_s = INITIAL_SERVICE_S
         self._clock = clock
-        self._service_by_sort: dict[str, float] = {}
-        self._waiting_below = 0
+        self._service_by_class: dict[str, float] = {}
+        self._waiting_nested = 0
         self._queues: list[deque[QueuedCall]] = [
             deque() for _ in range(len(Importance) * 2)
         ]
 
     @property
     def queued(self) -> int:
-        """Calls that wait."""
+        """Number of calls that wait for a slot."""
         return sum(len(queue) for queue in self._queues)
 
-    async def admit(self, claim: AdmissionRequest) -> Refusal | None:
+    async def admit(self, request: AdmissionRequest) -> Refusal | None:
         """Wait for a slot.
 
-        :returns: ``None`` with a slot that must be released, or a refusal.
+        :returns: ``None`` if the call got a slot, which the caller must
+            release, or a refusal.
         """
         now = self._clock()
-        self.shedder.record_arrival(now, claim.priority)
-        refusal = self._check_arrival(now, claim)
+        self.shedder.record_arrival(now, request.priority)
+        refusal = self._check_arrival(now, request)
         if refusal is not None:
             return refusal
         if self.running < self.limit.limit and not self.queued:
             self._take_slot()
             return None
         self.shedder.record_saturation()
-        if not claim.is_nested:
-            return await self._wait(claim)
-        self._count_waiting(1)
+        if not request.is_nested:
+            return await self._wait(request)
+        self._update_waiting_nested(1)
         try:
-            return await self._wait(claim)
+            return await self._wait(request)
         finally:
-            self._count_waiting(-1)
+            self._update_waiting_nested(-1)
 
     def release(self) -> None:
-        """Give a slot back and start what waits."""
+        """Release a slot and start waiting calls."""
         self.running -= 1
         self.start_waiting()
-        self._observe()
+        self._report_occupancy()
 
     def start_waiting(self) -> None:
-        """Give free slots to waiting calls."""
+        """Assign free slots to waiting calls."""
         while self.running < self.limit.limit:
             call = self._take_next()
             if call is None:
@@ -146,61 +164,70 @@
             call.decision.set_result(None)
 
     def refuse_waiting(self, reason: Reason) -> None:
-        """Refuse every call that waits."""
+        """Refuse all waiting calls."""
         for queue in self._queues:
             while queue:
                 waiting = queue.popleft()
                 if not waiting.decision.done():
                     waiting.decision.set_result(self._refuse(reason))
 
-    def record_service(self, held_s: float, sort: str = '') -> None:
-        """Take the time for which a completed call held its slot."""
+    def record_service(self, held_s: float, call_class: str = '') -> None:
+        """Record the time for which a completed call held its slot."""
         self.shedder.record_completion(self.service_s)
-        self.service_s = _follow(self.service_s, held_s)
-        if len(self._service_by_sort) > MAX_SORTS:
-            self._service_by_sort.clear()
-        known_s = self._service_by_sort.get(sort, held_s)
-        self._service_by_sort[sort] = known_s + (held_s - known_s) * SORT_WEIGHT
-
-    def estimate_least_service(self, sort: str) -> float:
-        """Estimate the seconds that a call needs at least."""
-        usual_s = self._service_by_sort.get(sort, self.service_s)
-        return usual_s * MIN_TIME_LEFT
-
-    def estimate_wait(self, claim: AdmissionRequest) -> float:
-        """Estimate the seconds until a call would start."""
-        ahead = sum(len(queue) for queue in self._queues[claim.queue :])
+        self.service_s = _update_average(self.service_s, held_s)
+        if len(self._service_by_class) > MAX_CALL_CLASSES:
+            self._service_by_class.clear()
+        average_s = self._service_by_class.get(call_class, held_s)
+        self._service_by_class[call_class] = (
+            average_s + (held_s - average_s) * CALL_CLASS_WEIGHT
+        )
+
+    def estimate_min_service_time(self, call_class: str) -> float:
+        """Return the least time in seconds that a call is expected to take."""
+        average_s = self._service_by_class.get(call_class, self.service_s)
+        return average_s * MIN_SERVICE_TIME_SHARE
+
+    def estimate_wait(self, request: AdmissionRequest) -> float:
+        """Return the expected time in seconds until a call gets a slot."""
+        ahead = sum(len(queue) for queue in self._queues[request.queue_index :])
         if self.running < self.limit.limit and not ahead:
             return 0.0
         return (ahead + 1) * self.service_s / self.limit.limit
 
     def _check_arrival(
-        self, now: float, claim: AdmissionRequest
+        self, now: float, request: AdmissionRequest
     ) -> Refusal | None:
-        wait_s = self.estimate_wait(claim)
-        if claim.is_nested and wait_s > self.service_s * OVERLOAD_WAIT:
+        """Refuse a call that would miss its deadline or is shed.
+
+        Nested calls are never shed, nor are calls that find a free slot.
+        """
+        wait_s = self.estimate_wait(request)
+        if (
+            request.is_nested
+            and wait_s > self.service_s * NESTED_OVERFLOW_SERVICE_TIMES
+        ):
             self.shedder.record_overflow()
-        service_s = self.estimate_least_service(claim.sort)
-        if now + wait_s + service_s > claim.deadline:
+        service_s = self.estimate_min_service_time(request.call_class)
+        if now + wait_s + service_s > request.deadline:
             if wait_s > 0:
                 self.shedder.record_overflow()
-                self._give_up_lesser(claim)
+                self._evict_lower_classes(request)
             return self._refuse(Reason.DEADLINE)
         level = self.shedder.read_level(now)
         is_free = self.running < self.limit.limit and not self.queued
-        if claim.is_nested or is_free:
+        if request.is_nested or is_free:
             return None
-        if is_shed(claim.priority, level):
+        if is_shed(request.priority, level):
             return self._refuse(Reason.OVERLOAD)
         return None
 
-    async def _wait(self, claim: AdmissionRequest) -> Refusal | None:
-        service_s = self.estimate_least_service(claim.sort)
-        call = QueuedCall(claim, claim.deadline - service_s)
+    async def _wait(self, request: AdmissionRequest) -> Refusal | None:
+        service_s = self.estimate_min_service_time(request.call_class)
+        call = QueuedCall(request, request.deadline - service_s)
         if not self._make_room(call):
             self.shedder.record_overflow()
             return self._refuse(Reason.OVERLOAD)
-        self._queues[claim.queue].append(call)
+        self._queues[request.queue_index].append(call)
         loop = asyncio.get_running_loop()
         timer = loop.call_later(
             max(0.0, call.latest_start - self._clock()),
@@ -210,63 +237,84 @@
         try:
             return await call.decision
         except asyncio.CancelledError:
-            self._abandon(call)
+            self._handle_cancellation(call)
             raise
         finally:
             timer.cancel()
 
     def _make_room(self, call: QueuedCall) -> bool:
-        """Push out lesser calls, or refuse when as important ones fill it."""
-        room = self._compute_room(call)
-        ahead = sum(len(queue) for queue in self._queues[call.claim.queue :])
-        if ahead >= room:
-            self._give_up_lesser(call.claim)
+        """Make room for a call in the queue, if need be by an eviction.
+
+        :returns: ``False`` if the calls that would be served before it
+            already fill the queue.
+        """
+        capacity = self._compute_queue_capacity(call)
+        ahead = sum(
+            len(queue) for queue in self._queues[call.request.queue_index :]
+        )
+        if ahead >= capacity:
+            self._evict_lower_classes(call.request)
             return False
-        lesser = [queue for queue in self._list_lesser(call.claim) if queue]
-        if self.queued >= room and lesser:
+        lower = [
+            queue for queue in self._list_lower_queues(call.request) if queue
+        ]
+        if self.queued >= capacity and lower:
             self.shedder.record_overflow()
-            pushed_out = lesser[0].popleft()
-            pushed_out.decision.set_result(self._refuse(Reason.OVERLOAD))
+            evicted = lower[0].popleft()
+            evicted.decision.set_result(self._refuse(Reason.OVERLOAD))
         return True
 
-    def _list_lesser(self, claim: AdmissionRequest) -> list[deque[QueuedCall]]:
-        """Return the queues of lesser classes, but of calls below others."""
-        own_class = claim.priority // SUBLEVELS
+    def _list_lower_queues(
+        self, request: AdmissionRequest
+    ) -> list[deque[QueuedCall]]:
+        """Return the queues of lower importance without nested calls."""
+        own_class = request.priority // SUBLEVELS
         return self._queues[: own_class * 2 : 2]
 
-    def _give_up_lesser(self, claim: AdmissionRequest) -> None:
-        """Refuse what waits behind calls that are refused themselves."""
-        for queue in self._list_lesser(claim):
+    def _evict_lower_classes(self, request: AdmissionRequest) -> None:
+        """Refuse the waiting calls of less importance than a refused call.
+
+        Otherwise they would be served although a more important call was
+        refused.
+        """
+        for queue in self._list_lower_queues(request):
             while queue:
                 call = queue.popleft()
                 call.decision.set_result(self._refuse(Reason.OVERLOAD))
 
-    def _compute_room(self, call: QueuedCall) -> int:
-        """Return how many calls may wait before the call is refused.
+    def _compute_queue_capacity(self, call: QueuedCall) -> int:
+        """Return the number of waiting calls at which the queue is full.
 
-        The most important calls may spend a share of their remaining time
-        in the queue, and calls below others a larger one; others only a
-        share of their objective or the configured wait, or one service time
-        when calls take longer than that.
+        It is the number of calls that the slots are expected to serve within
+        the longest wait permitted to the call (Little's law). That wait is a
+        share of the remaining time, which is larger for nested calls. Calls
+        that are neither nested nor critical are further limited by their
+        objective or by the configured queue limit.
         """
-        claim = call.claim
+        request = call.request
         remaining_s = call.latest_start - self._clock()
-        allowed_s = remaining_s * MAX_WAIT_SHARE
-        if claim.is_nested:
-            allowed_s = remaining_s * MAX_WAIT_SHARE_BELOW
-        elif claim.priority < Importance.CRITICAL * SUBLEVELS:
-            allowed_s = min(self._limit_wait(claim), allowed_s)
-        return max(1, int(allowed_s * self.limit.limit / self.service_s))
-
-    def _limit_wait(self, claim: AdmissionRequest) -> float:
-        if claim.objective_s is not None:
-            return claim.objective_s * OBJECTIVE_WAIT_SHARE
+        max_wait_s = remaining_s * MAX_WAIT_SHARE
+        if request.is_nested:
+            max_wait_s = remaining_s * MAX_NESTED_WAIT_SHARE
+        elif request.priority < Importance.CRITICAL * SUBLEVELS:
+            max_wait_s = min(self._compute_wait_limit(request), max_wait_s)
+        return max(1, int(max_wait_s * self.limit.limit / self.service_s))
+
+    def _compute_wait_limit(self, request: AdmissionRequest) -> float:
+        """Return the wait in seconds that the objective or settings permit.
+
+        The configured limit is raised to half of the average service time
+        when that is longer.
+        """
+        if request.objective_s is not None:
+            return request.objective_s * OBJECTIVE_WAIT_SHARE
         return max(self.queue_limit_s, self.service_s / 2)
 
     def _take_next(self) -> QueuedCall | None:
-        for place in range(len(self._queues) - 1, -1, -1):
-            queue = self._queues[place]
-            is_nested = place % 2 == 1
+        """Remove and return the call that is to be served next."""
+        for index in range(len(self._queues) - 1, -1, -1):
+            queue = self._queues[index]
+            is_nested = index % 2 == 1
             while queue:
                 is_overloaded = len(queue) > self.limit.limit and not is_nested
                 call = queue.pop() if is_overloaded else queue.popleft()
@@ -275,12 +323,14 @@
         return None
 
     def _expire(self, call: QueuedCall) -> None:
+        """Refuse a call that has waited until its latest start."""
         if not call.decision.done():
             self._remove(call)
             self.shedder.record_overflow()
             call.decision.set_result(self._refuse(Reason.DEADLINE))
 
-    def _abandon(self, call: QueuedCall) -> None:
+    def _handle_cancellation(self, call: QueuedCall) -> None:
+        """Release the slot of a cancelled call or remove it from its queue."""
         if call.decision.done() and not call.decision.cancelled():
             if call.decision.result() is None:
                 self.release()
@@ -288,11 +338,12 @@
             self._remove(call)
 
     def _remove(self, call: QueuedCall) -> None:
-        queue = self._queues[call.claim.queue]
+        queue = self._queues[call.request.queue_index]
         if call in queue:
             queue.remove(call)
 
     def _refuse(self, reason: Reason) -> Refusal:
+        """Return a refusal whose retry time grows with the queue."""
         pause_s = self.service_s * (self.queued + 1) / self.limit.limit
         return Refusal(
             Outcome.NOT_RUN,
@@ -302,20 +353,20 @@
 
     def _take_slot(self) -> None:
         self.running += 1
-        self._observe()
+        self._report_occupancy()
 
-    def _count_waiting(self, change: int) -> None:
-        self._waiting_below += change
-        self._observe()
+    def _update_waiting_nested(self, change: int) -> None:
+        self._waiting_nested += change
+        self._report_occupancy()
 
-    def _observe(self) -> None:
+    def _report_occupancy(self) -> None:
         self.shedder.record_occupancy(
-            self._clock(), self.running, self._waiting_below, self.limit.limit
+            self._clock(), self.running, self._waiting_nested, self.limit.limit
         )
 
 
-def _follow(mean_s: float, sample_s: float) -> float:
-    """Return a mean that follows a rise faster than a fall."""
-    difference = sample_s - mean_s
-    weight = RISE_WEIGHT if difference > 0 else FALL_WEIGHT
-    return mean_s + difference * weight
+def _update_average(average_s: float, sample_s: float) -> float:
+    """Return a moving average that follows increases faster."""
+    difference = sample_s - average_s
+    weight = INCREASE_WEIGHT if difference > 0 else DECREASE_WEIGHT
+    return average_s + difference * weight
--- a/merlintrail/state/_data_centre_outcomes.py
+++ b/merlintrail/state/_data_centre_outcomes.py
@@ -1,60 +1,61 @@
-"""How requests of a kind fare in each data centre."""
+"""Failure shares of request kinds by data centre."""
 
 from typing import Final, NamedTuple
 
-#: Weight of a new outcome in the share of requests that fail.
+#: Weight of a new outcome in the moving average of the failure share.
 OUTCOME_WEIGHT: Final = 0.1
-#: Seconds in which the share is halved by itself, so that a data centre that
-#: was left is tried again.
+#: Half-life in seconds of the failure share while no outcomes arrive. With
+#: the decay a data centre that was abandoned is tried again.
 HALF_LIFE_S: Final = 4.0
-#: Load that a share of failing requests of one stands for.
-FAILING_LOAD: Final = 2.0
-#: Pairs of kind and data centre that are remembered.
+#: Load that is added at a failure share of 1.
+FAILURE_LOAD: Final = 2.0
+#: Number of pairs of kind and data centre above which all are discarded.
 MAX_PAIRS: Final = 4096
 
 
-class _Share(NamedTuple):
-    """Share of requests that failed, as of a time."""
+class _FailureShare(NamedTuple):
+    """Moving average of the share of failed requests."""
 
-    failing: float
-    known_at: float
+    share: float
+    updated_at: float
 
 
 class DataCentreOutcomes:
-    """Failing requests by kind and data centre.
+    """Failure shares of requests from outside, by kind and data centre.
 
-    A request fails where a service below it is missing, slow or far away,
-    although the server that takes the request itself is well. With the
-    request all of its calls move.
+    A request fails where one of the services that it depends on is missing,
+    slow or distant, even though the server that takes the request itself is
+    healthy. It therefore has to be routed by its own outcome, and all of its
+    nested calls move with it.
     """
 
     def __init__(self) -> None:
-        self._shares: dict[tuple[str, str], _Share] = {}
+        self._shares: dict[tuple[str, str], _FailureShare] = {}
 
     def record(
         self, kind: str, data_centre: str, *, has_failed: bool, now: float
     ) -> None:
-        """Take the outcome of a request that ran in a data centre."""
+        """Record the outcome of a request that ran in a data centre."""
         if not has_failed and (kind, data_centre) not in self._shares:
             return
         if len(self._shares) > MAX_PAIRS:
             self._shares.clear()
         share = self._read_share(kind, data_centre, now)
         outcome = 1.0 if has_failed else 0.0
-        self._shares[kind, data_centre] = _Share(
+        self._shares[kind, data_centre] = _FailureShare(
             share + (outcome - share) * OUTCOME_WEIGHT, now
         )
 
     def compute_load(self, kind: str, data_centre: str, now: float) -> float:
-        """Return the load that the failing requests stand for."""
+        """Return the load that is added for failed requests."""
         if not self._shares:
             return 0.0
-        return self._read_share(kind, data_centre, now) * FAILING_LOAD
+        return self._read_share(kind, data_centre, now) * FAILURE_LOAD
 
     def _read_share(self, kind: str, data_centre: str, now: float) -> float:
-        known = self._shares.get((kind, data_centre))
-        if known is None:
+        entry = self._shares.get((kind, data_centre))
+        if entry is None:
             return 0.0
-        age_s = now - known.known_at
-        faded: float = known.failing * 0.5 ** (age_s / HALF_LIFE_S)
-        return faded
+        age_s = now - entry.updated_at
+        decayed: float = entry.share * 0.5 ** (age_s / HALF_LIFE_S)
+        return decayed
--- a/merlintrail/state/_links.py
+++ b/merlintrail/state/_links.py
@@ -1,30 +1,39 @@
-"""Allowance of bytes between regions."""
+"""Bandwidth limits between regions."""
 
 from collections.abc import Mapping
 from typing import Final
 
-#: Seconds of allowance that can be saved up.
+#: Capacity of a token bucket, in seconds of its rate.
 BURST_S: Final = 1.0
 
 
 class LinkAllowance:
-    """Token buckets for this node's share of each link between regions."""
+    """Token buckets of bytes for this node's share of each link.
+
+    A link joins two regions. Its rate is divided evenly among the nodes of
+    the region. A call is charged after the fact, when its size is known, so
+    a bucket can become negative.
+    """
 
     def __init__(self) -> None:
         self._rates: Mapping[frozenset[str], float] = {}
         self._nodes = 1
         self._tokens: dict[frozenset[str], float] = {}
         self._filled_at: dict[frozenset[str], float] = {}
-        #: Bytes sent across each link.
+        #: Bytes sent across each link by this node.
         self.bytes_sent: dict[frozenset[str], int] = {}
 
     def update(self, rates: Mapping[frozenset[str], float], nodes: int) -> None:
-        """Set the links' rates and how many nodes of the region share them."""
+        """Set the rates of the links.
+
+        :param rates: bytes per second for each pair of regions.
+        :param nodes: number of nodes in the region, which share them.
+        """
         self._rates = rates
         self._nodes = max(1, nodes)
 
     def permits(self, pair: frozenset[str], now: float) -> bool:
-        """Tell whether another call may cross; no link means no limit."""
+        """Return whether a call may cross; a pair without a rate may."""
         if pair not in self._rates:
             return True
         return self._fill(pair, now) > 0
@@ -36,6 +45,7 @@
             self._tokens[pair] = self._fill(pair, now) - sent
 
     def _fill(self, pair: frozenset[str], now: float) -> float:
+        """Refill a bucket and return its tokens; a new one is full."""
         rate = self._rates[pair] / self._nodes
         elapsed_s = now - self._filled_at.get(pair, now - BURST_S)
         self._filled_at[pair] = now
--- a/merlintrail/state/_routing.py
+++ b/merlintrail/state/_routing.py
@@ -1,4 +1,4 @@
-"""Choice of a backend server for a call."""
+"""Selection of a backend server for a call."""
 
 import random
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -18,55 +18,63 @@
 from merlintrail.state._shedding import is_shed
 from merlintrail.state._targets import Target
 
-#: Load that the nearest backend servers count as having when none of them
-#: can be chosen.
-ABSENT_LOAD: Final = 1.5
-#: Seconds for which the usual service time of a service is not looked up
-#: again.
-USUAL_TIME_MEMORY_S: Final = 0.5
+#: Load that is assumed for the backend servers of the region when there are
+#: some but none can be chosen. A call goes to another region only if the
+#: load there, with the margin, is not above it.
+UNAVAILABLE_LOAD: Final = 1.5
+#: Seconds for which the median service time of a service is cached.
+MEDIAN_CACHE_S: Final = 0.5
 #: Largest share of a service's backend servers that may be ejected.
 MAX_EJECTED_SHARE: Final = 0.5
 
 
-class _UsualTime(NamedTuple):
-    """Median service time of a service, and when it was found."""
+class _CachedMedian(NamedTuple):
+    """Median service time of a service's backend servers."""
 
     service_s: float
-    found_at: float
+    computed_at: float
 
 
 class RoutingTable:
-    """Backend servers by service, kept up to date from the members."""
+    """The backend servers of each service, as the members offer them.
+
+    A call goes to the nearest tier (own data centre, region, other regions)
+    that has capacity; see :class:`SpilloverRule`. Within a tier it goes to
+    the less loaded of two random backend servers (power of two choices).
+    Backend servers that fail repeatedly are ejected for a time (outlier
+    ejection).
+    """
 
     def __init__(
         self,
-        place: NodeLocation,
+        location: NodeLocation,
         clock: Callable[[], float],
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
-        self._place = place
+        self._location = location
         self._clock = clock
-        self._source = source
+        self._rng = rng
         self._targets: dict[str, dict[str, Target]] = {}
         self._regions: Mapping[str, str] = {}
-        #: Backend servers of each service in the own data centre.
+        #: Cached backend servers of each service in the own data centre.
         self._near: dict[str, list[Target]] = {}
-        self._usual_times: dict[str, _UsualTime] = {}
-        #: Shedding levels on the way of each request kind.
+        self._median_service_times: dict[str, _CachedMedian] = {}
+        #: Shedding levels of the services that each request kind calls.
         self.downstream_levels = DownstreamLevels()
-        #: How requests fare in each data centre.
+        #: Failure shares of requests in each data centre.
         self.outcomes = DataCentreOutcomes()
-        #: Allowance of bytes between regions.
+        #: Bandwidth limits between regions.
         self.links = LinkAllowance()
-        #: Whether members that appear are new rather than newly learnt.
+        #: Whether the initial list of members is complete. From then on a
+        #: backend server that appears has just started and is warmed up.
         self.has_initial_members = False
 
     def update_regions(self, regions: Mapping[str, str]) -> None:
         """Set the region of each data centre."""
         self._regions = regions
 
-    def update_member(self, known: Member | None, member: Member) -> None:
-        """Take a change of a member."""
+    def update_member(self, previous: Member | None, member: Member) -> None:
+        """Apply the new state of a member; a listener of the member table."""
         self._near.clear()
         offers = () if member.has_departed else member.offers
         offered = {offer.service for offer in offers}
@@ -81,52 +89,56 @@
         return list(self._targets.get(service, {}).values())
 
     def has_service(self, service: str) -> bool:
-        """Tell whether any backend server of the service is known."""
+        """Return whether any backend server of a service is known."""
         return bool(self._targets.get(service))
 
     def choose(
-        self, demand: RoutingRequest, tried: Collection[str]
+        self, request: RoutingRequest, tried: Collection[str]
     ) -> Choice | NoTarget:
         """Choose a backend server.
 
-        The own data centre first; another one of the region when that has
-        clearly more room; another region only when neither can take the
-        call and the link's allowance permits.
+        The own data centre has precedence, then another data centre of the
+        region if its load is lower by a margin. Another region is used only
+        if its load is lower by a larger margin and the bandwidth limit of
+        the link permits.
 
-        :param tried: identifiers of nodes that were tried already.
+        :param tried: identifiers of nodes that were tried before.
         """
         now = self._clock()
-        near = self._choose_near(demand, tried, now)
+        near = self._choose_near(request, tried, now)
         if near is not None:
             return near
-        targets = self._targets.get(demand.service, {}).values()
+        targets = self._targets.get(request.service, {}).values()
         available = [
             target
             for target in targets
             if target.is_available(now) and target.member.node_id not in tried
         ]
         if not available:
-            return self._explain_absence(targets, now)
-        willing = [
+            return self._explain_unavailability(targets, now)
+        accepting = [
             target
             for target in available
-            if self._is_willing(target, demand, now)
+            if self._accepts(target, request, now)
         ]
-        if not willing:
+        if not accepting:
             return NoTarget(
                 is_shedding=True,
                 level=min(
-                    self._read_level(target, demand, now)
+                    self._read_level(target, request, now)
                     for target in available
                 ),
                 reason='every server sheds',
             )
-        return self._choose_nearest(willing, demand, now)
+        return self._choose_nearest(accepting, request, now)
 
     def record_failure(self, target: Target) -> float:
-        """Count a failure; eject the server if the floor permits.
+        """Count a failure and eject the backend server if it is due.
+
+        No more than ``MAX_EJECTED_SHARE`` of the backend servers are ejected
+        at a time.
 
-        :returns: seconds of ejection, 0 for none.
+        :returns: duration of the ejection in seconds, 0 for none.
         """
         now = self._clock()
         if not target.record_failure(now):
@@ -138,10 +150,10 @@
         return target.eject(now)
 
     def find_tier(self, member: Member) -> Tier:
-        """Return the distance of a member."""
-        if member.data_centre == self._place.data_centre:
+        """Return the distance of a member from this node."""
+        if member.data_centre == self._location.data_centre:
             return Tier.DATA_CENTRE
-        own_region = self._regions.get(self._place.data_centre)
+        own_region = self._regions.get(self._location.data_centre)
         if self._regions.get(member.data_centre) == own_region:
             return Tier.REGION
         return Tier.REMOTE
@@ -150,69 +162,81 @@
         """Return the regions of this node and of a member."""
         return frozenset(
             (
-                self._regions.get(self._place.data_centre, ''),
+                self._regions.get(self._location.data_centre, ''),
                 self._regions.get(member.data_centre, ''),
             )
         )
 
     def _update_offer(self, member: Member, offer: ServiceOffer) -> None:
+        """Add or update a backend server.
+
+        A backend server that becomes ready is warmed up, and so is a new
+        one unless it belongs to the initial members.
+        """
         targets = self._targets.setdefault(offer.service, {})
         target = targets.get(member.node_id)
         if target is None or target.member.incarnation != member.incarnation:
-            warm_since = self._clock() if self.has_initial_members else 0.0
-            target = Target(member, offer, warm_since)
+            warmup_started_at = (
+                self._clock() if self.has_initial_members else 0.0
+            )
+            target = Target(member, offer, warmup_started_at)
             targets[member.node_id] = target
         elif offer.is_ready and not target.offer.is_ready:
-            target.warm_since = self._clock()
+            target.warmup_started_at = self._clock()
         target.member = member
         target.offer = offer
         target.is_draining = member.status != MemberStatus.ALIVE
 
-    def _is_willing(
-        self, target: Target, demand: RoutingRequest, now: float
+    def _accepts(
+        self, target: Target, request: RoutingRequest, now: float
     ) -> bool:
-        """Tell whether a call is not shed on its way through a server."""
-        if demand.is_nested:
+        """Return whether a call is shed neither at nor behind a target.
+
+        Nested calls are never shed.
+        """
+        if request.is_nested:
             return True
-        level = self._read_level(target, demand, now)
-        return not is_shed(demand.priority, level)
+        level = self._read_level(target, request, now)
+        return not is_shed(request.priority, level)
 
     def _read_level(
-        self, target: Target, demand: RoutingRequest, now: float
+        self, target: Target, request: RoutingRequest, now: float
     ) -> int:
-        """Return the highest level that a call meets through a server."""
-        below = self.downstream_levels.read(
-            demand.kind, target.member.data_centre, now
+        """Return the highest shedding level at or behind a target."""
+        downstream = self.downstream_levels.read(
+            request.kind, target.member.data_centre, now
         )
-        return max(target.read_level(now), below)
+        return max(target.read_level(now), downstream)
 
     def _choose_near(
-        self, demand: RoutingRequest, tried: Collection[str], now: float
+        self, request: RoutingRequest, tried: Collection[str], now: float
     ) -> Choice | None:
-        """Choose in the own data centre without looking at all servers.
+        """Choose from two random targets in the own data centre.
+
+        This fast path does not examine every backend server.
 
-        :returns: ``None`` when two random ones do not settle it.
+        :returns: ``None`` if the better of the two cannot take the call.
         """
-        near = self._near.get(demand.service)
+        near = self._near.get(request.service)
         if near is None:
             near = [
                 target
-                for target in self._targets.get(demand.service, {}).values()
-                if target.member.data_centre == self._place.data_centre
+                for target in self._targets.get(request.service, {}).values()
+                if target.member.data_centre == self._location.data_centre
             ]
-            self._near[demand.service] = near
-        choice = self._choose_of_two(near, Tier.DATA_CENTRE, demand, now)
-        if choice is None or choice.load > demand.rule.near_load:
+            self._near[request.service] = near
+        choice = self._choose_of_two(near, Tier.DATA_CENTRE, request, now)
+        if choice is None or choice.load > request.rule.max_near_load:
             return None
         target = choice.target
-        is_free = (
+        is_eligible = (
             target.is_available(now) and target.member.node_id not in tried
         )
-        if is_free and self._is_willing(target, demand, now):
+        if is_eligible and self._accepts(target, request, now):
             return choice
         return None
 
-    def _explain_absence(
+    def _explain_unavailability(
         self, targets: Collection[Target], now: float
     ) -> NoTarget:
         if not targets:
@@ -227,34 +251,36 @@
         )
 
     def _choose_nearest(
-        self, targets: Sequence[Target], demand: RoutingRequest, now: float
+        self, targets: Sequence[Target], request: RoutingRequest, now: float
     ) -> Choice | NoTarget:
+        """Choose from the targets by tier and load."""
         by_tier: dict[Tier, list[Target]] = {tier: [] for tier in Tier}
         for target in targets:
             by_tier[self.find_tier(target.member)].append(target)
         near = self._choose_of_two(
-            by_tier[Tier.DATA_CENTRE], Tier.DATA_CENTRE, demand, now
+            by_tier[Tier.DATA_CENTRE], Tier.DATA_CENTRE, request, now
         )
-        rule = demand.rule
-        if near is not None and near.load <= rule.near_load:
+        rule = request.rule
+        if near is not None and near.load <= rule.max_near_load:
             return near
         region = self._choose_of_two(
-            by_tier[Tier.REGION], Tier.REGION, demand, now
+            by_tier[Tier.REGION], Tier.REGION, request, now
         )
         best = _prefer_nearer(near, region, rule.region_margin)
-        if best is not None and best.load <= rule.near_load:
+        if best is not None and best.load <= rule.max_near_load:
             return best
-        remote = self._choose_remote(by_tier[Tier.REMOTE], demand, now)
+        remote = self._choose_remote(by_tier[Tier.REMOTE], request, now)
         if isinstance(remote, NoTarget):
             return best or remote
-        if best is None and self._has_region_server(demand.service, now):
-            if remote.load + rule.remote_margin > ABSENT_LOAD:
+        if best is None and self._has_region_server(request.service, now):
+            if remote.load + rule.remote_margin > UNAVAILABLE_LOAD:
                 return NoTarget(
                     is_shedding=True, level=0, reason='no room in the region'
                 )
         return _prefer_nearer(best, remote, rule.remote_margin) or remote
 
     def _has_region_server(self, service: str, now: float) -> bool:
+        """Return whether the region has an available backend server."""
         return any(
             target.is_available(now)
             and self.find_tier(target.member) != Tier.REMOTE
@@ -262,14 +288,14 @@
         )
 
     def _choose_remote(
-        self, targets: Sequence[Target], demand: RoutingRequest, now: float
+        self, targets: Sequence[Target], request: RoutingRequest, now: float
     ) -> Choice | NoTarget:
         permitted = [
             target
             for target in targets
             if self.links.permits(self.find_region_pair(target.member), now)
         ]
-        choice = self._choose_of_two(permitted, Tier.REMOTE, demand, now)
+        choice = self._choose_of_two(permitted, Tier.REMOTE, request, now)
         if choice is None:
             return NoTarget(
                 is_shedding=True,
@@ -282,17 +308,18 @@
         self,
         targets: Sequence[Target],
         tier: Tier,
-        demand: RoutingRequest,
+        request: RoutingRequest,
         now: float,
     ) -> Choice | None:
+        """Choose the less loaded of two random targets."""
         if not targets:
             return None
-        pair = targets if len(targets) <= 2 else self._source.sample(targets, 2)
-        usual_s = self._find_usual_service_time(demand.service, now)
+        pair = targets if len(targets) <= 2 else self._rng.sample(targets, 2)
+        median_s = self._find_median_service_time(request.service, now)
         loads = [
             (
-                target.compute_load(now, demand.warmup_s, usual_s)
-                + self._find_place_load(target, demand, now),
+                target.compute_load(now, request.warmup_s, median_s)
+                + self._compute_failure_load(target, request, now),
                 index,
             )
             for index, target in enumerate(pair)
@@ -300,35 +327,38 @@
         load, index = min(loads)
         return Choice(pair[index], tier, load)
 
-    def _find_place_load(
-        self, target: Target, demand: RoutingRequest, now: float
+    def _compute_failure_load(
+        self, target: Target, request: RoutingRequest, now: float
     ) -> float:
-        """Return the load that failing requests in a place stand for."""
-        if demand.is_nested:
+        """Return the load added for request failures in a data centre."""
+        if request.is_nested:
             return 0.0
         return self.outcomes.compute_load(
-            demand.kind, target.member.data_centre, now
+            request.kind, target.member.data_centre, now
         )
 
-    def _find_usual_service_time(self, service: str, now: float) -> float:
-        """Return the median service time of a service's backend servers."""
-        known = self._usual_times.get(service)
-        if known is not None and now - known.found_at < USUAL_TIME_MEMORY_S:
-            return known.service_s
+    def _find_median_service_time(self, service: str, now: float) -> float:
+        """Return the median service time of a service in seconds.
+
+        :returns: 0 if fewer than three backend servers have reported one.
+        """
+        cached = self._median_service_times.get(service)
+        if cached is not None and now - cached.computed_at < MEDIAN_CACHE_S:
+            return cached.service_s
         times = sorted(
             target.service_s
             for target in self._targets.get(service, {}).values()
             if target.service_s > 0
         )
-        usual_s = times[len(times) // 2] if len(times) > 2 else 0.0
-        self._usual_times[service] = _UsualTime(usual_s, now)
-        return usual_s
+        median_s = times[len(times) // 2] if len(times) > 2 else 0.0
+        self._median_service_times[service] = _CachedMedian(median_s, now)
+        return median_s
 
 
 def _prefer_nearer(
     nearer: Choice | None, farther: Choice | None, margin: float
 ) -> Choice | None:
-    """Return the nearer choice unless the farther has clearly more room."""
+    """Return the farther choice if its load is lower by the margin."""
     if nearer is None or farther is None:
         return nearer or farther
     return farther if farther.load + margin < nearer.load else nearer
