--- a/merlintrail/state/_quarantine.py
+++ b/merlintrail/state/_quarantine.py
@@ -1,28 +1,28 @@
-"""Requests that crash backend servers."""
+"""Quarantine of requests that crash backend servers."""
 
 from collections.abc import Collection, Sequence
 from typing import Any, Final, NamedTuple
 
 import xxhash
 
-#: Suspects that are remembered at a time.
-MAX_SUSPECTS: Final = 4096
+#: Largest number of suspicions recorded at a time; the oldest are evicted.
+MAX_SUSPICIONS: Final = 4096
 
 
 def compute_digest(service: str, method: str, target: str, body: bytes) -> str:
-    """Compute the digest by which equal requests are recognised."""
+    """Return a digest that is the same for equal requests."""
     head = f'{service}\n{method}\n{target}\n'.encode()
     digest: str = xxhash.xxh3_128_hexdigest(head + body)
     return digest
 
 
 class Suspicion(NamedTuple):
-    """Deaths of backend servers in which a request took part."""
+    """The crashes of backend servers in which a request was running."""
 
     digest: str
-    #: Identifiers of the deaths; none for a suspect that was acquitted.
+    #: Identifiers of the crashes, empty to clear the request.
     deaths: tuple[str, ...]
-    #: Whether the request is refused everywhere.
+    #: Whether the request is quarantined, that is refused by every node.
     is_convicted: bool
     #: Seconds since the epoch.
     expires_at: float
@@ -31,7 +31,7 @@
 def read_suspicion(record: Sequence[Any]) -> Suspicion | None:
     """Read a suspicion from a JSON array in the order of the fields.
 
-    :returns: ``None`` when the array does not have that shape.
+    :returns: ``None`` if the array has another length.
     """
     if len(record) != len(Suspicion._fields):
         return None
@@ -40,12 +40,12 @@
 
 
 class Quarantine:
-    """Suspects and convicted requests, merged from every node.
+    """Suspected and quarantined requests, replicated to every node.
 
-    All requests running in a backend server when it dies become suspects.
-    Only one suspect runs in a backend server at a time, so that a second
-    death tells which of them is the cause. A suspect that runs to its end
-    is acquitted.
+    When a backend server crashes, all requests that run in it become
+    suspects. A backend server runs only one suspect at a time, so that a
+    further crash identifies the cause: the only suspect among the running
+    requests is quarantined. A suspect that completes is cleared.
     """
 
     def __init__(self) -> None:
@@ -53,19 +53,24 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is no suspicion at all."""
+        """Whether no suspicion is recorded."""
         return not self._suspicions
 
     def record_death(
         self, death: str, digests: Collection[str], expires_at: float
     ) -> list[Suspicion]:
-        """Take note of a death; return the suspicions to tell others."""
+        """Record the crash of a backend server.
+
+        :param death: identifier of the crash.
+        :param digests: requests that were running.
+        :returns: the changed suspicions, to be sent to the other nodes.
+        """
         distinct = sorted(set(digests))
         suspects = [digest for digest in distinct if digest in self._suspicions]
         changed = []
         for digest in distinct:
-            known = self._suspicions.get(digest)
-            deaths = () if known is None else known.deaths
+            previous = self._suspicions.get(digest)
+            deaths = () if previous is None else previous.deaths
             suspicion = Suspicion(
                 digest,
                 (*deaths, death),
@@ -77,59 +82,71 @@
         return changed
 
     def clear_suspect(self, digest: str, now: float) -> Suspicion | None:
-        """Clear a suspect that ran to its end; return what to tell others."""
-        known = self.find(digest, now)
-        if known is None or known.is_convicted:
+        """Remove the suspicion against a request that completed.
+
+        :returns: the suspicion without crashes, which clears the request at
+            the other nodes, or ``None`` if the request is not a suspect or
+            is quarantined.
+        """
+        current = self.find(digest, now)
+        if current is None or current.is_convicted:
             return None
         del self._suspicions[digest]
-        return known._replace(deaths=())
+        return current._replace(deaths=())
 
     def find(self, digest: str, now: float) -> Suspicion | None:
-        """Return the suspicion against a request, unless it expired."""
-        known = self._suspicions.get(digest)
-        if known is not None and known.expires_at <= now:
+        """Return the suspicion against a request unless it has expired."""
+        current = self._suspicions.get(digest)
+        if current is not None and current.expires_at <= now:
             del self._suspicions[digest]
             return None
-        return known
+        return current
 
     def is_quarantined(self, digest: str, now: float) -> bool:
-        """Tell whether a request is refused everywhere."""
-        known = self.find(digest, now)
-        return known is not None and known.is_convicted
-
-    def merge(self, told: Suspicion, now: float) -> bool:
-        """Take what another node found; return whether it was news."""
-        known = self.find(told.digest, now)
-        if told.expires_at <= now:
+        """Return whether a request is refused by every node."""
+        current = self.find(digest, now)
+        return current is not None and current.is_convicted
+
+    def merge(self, received: Suspicion, now: float) -> bool:
+        """Merge a suspicion from another node.
+
+        The result holds the crashes of both, is a quarantine if either is,
+        and has the later expiry. A received suspicion without crashes clears
+        a suspect but not a quarantined request.
+
+        :returns: whether anything changed.
+        """
+        current = self.find(received.digest, now)
+        if received.expires_at <= now:
             return False
-        if not told.deaths:
-            if known is None or known.is_convicted:
+        if not received.deaths:
+            if current is None or current.is_convicted:
                 return False
-            del self._suspicions[told.digest]
+            del self._suspicions[received.digest]
             return True
-        if known is None:
-            self._put(told)
+        if current is None:
+            self._put(received)
             return True
-        merged = known._replace(
-            deaths=tuple(sorted({*known.deaths, *told.deaths})),
-            is_convicted=known.is_convicted or told.is_convicted,
-            expires_at=max(known.expires_at, told.expires_at),
+        merged = current._replace(
+            deaths=tuple(sorted({*current.deaths, *received.deaths})),
+            is_convicted=current.is_convicted or received.is_convicted,
+            expires_at=max(current.expires_at, received.expires_at),
         )
-        if merged == known._replace(deaths=tuple(sorted(known.deaths))):
+        if merged == current._replace(deaths=tuple(sorted(current.deaths))):
             return False
         self._put(merged)
         return True
 
     def list_suspicions(self, now: float) -> list[Suspicion]:
-        """Return what has not expired."""
+        """Return the suspicions that have not expired."""
         return [
-            known
-            for known in self._suspicions.values()
-            if known.expires_at > now
+            suspicion
+            for suspicion in self._suspicions.values()
+            if suspicion.expires_at > now
         ]
 
     def _put(self, suspicion: Suspicion) -> None:
         is_new = suspicion.digest not in self._suspicions
-        if is_new and len(self._suspicions) >= MAX_SUSPECTS:
+        if is_new and len(self._suspicions) >= MAX_SUSPICIONS:
             del self._suspicions[next(iter(self._suspicions))]
         self._suspicions[suspicion.digest] = suspicion
