--- a/merlintrail/state/__init__.py
+++ b/merlintrail/state/__init__.py
@@ -1,4 +1,4 @@
-"""What a node knows, and the decisions that it takes on it."""
+"""Node-local state, and admission, shedding, routing and retry decisions."""
 
 from merlintrail.state._admission import AdmissionController, AdmissionRequest
 from merlintrail.state._call_table import CallRecord, CallTable
--- a/merlintrail/state/_call_table.py
+++ b/merlintrail/state/_call_table.py
@@ -1,4 +1,4 @@
-"""Calls that a node has seen: running, finished, or refused for ever."""
+"""Calls that a node has received, by identifier."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -7,26 +7,33 @@
 from merlintrail.protocol import InquiryState
 from merlintrail.transport import HttpResponse
 
-#: Seconds for which the answer to a finished call can be asked for.
+#: Seconds for which a finished call and its answer are kept for inquiries.
 FINISHED_RETENTION_S: Final = 15.0
-#: Seconds for which a call that was asked for in vain is refused.
+#: Seconds for which a call is rejected after an inquiry that preceded it.
 TOMBSTONE_RETENTION_S: Final = 120.0
-#: Bytes of answers that are kept for inquiries.
+#: Largest total size in bytes of the kept answers.
 MAX_ANSWER_BYTES: Final = 4194304
-#: Calls of each sort that are remembered; the oldest make room.
+#: Largest number of finished calls, and of tombstones; the oldest are
+#: removed first.
 MAX_CALLS: Final = 20000
 
 
 class CallRecord(NamedTuple):
-    """What is remembered of one call."""
+    """State of one call."""
 
     state: InquiryState
     recorded_at: float
+    #: ``None`` unless the call finished with an answer.
     answer: HttpResponse | None = None
 
 
 class CallTable:
-    """Remembers calls by id, so that a call runs once and can be asked for."""
+    """Ensures that a call runs once and answers inquiries about it.
+
+    A caller that lost the answer to a call inquires about it. If the call is
+    unknown, it is marked with a tombstone, which keeps it from running when
+    it arrives late, so that the caller can safely send it again.
+    """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -38,42 +45,44 @@
     def begin(self, call_id: str) -> InquiryState | None:
         """Record the start of a call.
 
-        :returns: ``None`` when the call may run, else why it may not.
+        :returns: ``None`` if the call may run, or the state that prevents
+            it.
         """
         if call_id in self._running:
             return InquiryState.RUNNING
-        known = self._find(call_id)
-        if known is not None:
-            return known.state
+        record = self._find(call_id)
+        if record is not None:
+            return record.state
         self._running.add(call_id)
         return None
 
     def finish(self, call_id: str, answer: HttpResponse) -> None:
-        """Keep the answer for a later inquiry."""
+        """Record the answer to a running call for later inquiries."""
         self._running.discard(call_id)
         self._answer_bytes += len(answer.body)
         self._put_finished(call_id, answer)
 
     def abandon(self, call_id: str) -> None:
-        """Forget a running call that was cancelled; it may have run."""
+        """Record a cancelled call as finished, because it may have run."""
         self._running.discard(call_id)
         self._put_finished(call_id, None)
 
     def find_or_tombstone(self, call_id: str) -> CallRecord:
-        """Say what became of a call; an unknown one gets a tombstone."""
+        """Return the record of a call, a new tombstone if it is unknown."""
         if call_id in self._running:
             return CallRecord(InquiryState.RUNNING, self._clock())
-        known = self._find(call_id)
-        if known is None:
-            known = CallRecord(InquiryState.TOMBSTONE, self._clock())
-            self._tombstones[call_id] = known
+        record = self._find(call_id)
+        if record is None:
+            record = CallRecord(InquiryState.TOMBSTONE, self._clock())
+            self._tombstones[call_id] = record
             self._trim_tombstones()
-        return known
+        return record
 
     def _find(self, call_id: str) -> CallRecord | None:
         return self._finished.get(call_id) or self._tombstones.get(call_id)
 
     def _put_finished(self, call_id: str, answer: HttpResponse | None) -> None:
+        """Add a finished call and remove old ones."""
         now = self._clock()
         self._finished[call_id] = CallRecord(InquiryState.FINISHED, now, answer)
         oldest = now - FINISHED_RETENTION_S
@@ -86,6 +95,7 @@
                 self._answer_bytes -= len(removed.answer.body)
 
     def _trim_tombstones(self) -> None:
+        """Remove expired tombstones and the oldest above ``MAX_CALLS``."""
         oldest = self._clock() - TOMBSTONE_RETENTION_S
         while self._tombstones:
             first = next(iter(self._tombstones.values()))
@@ -95,6 +105,7 @@
             self._tombstones.popitem(last=False)
 
     def _is_full(self) -> bool:
+        """Return whether finished calls exceed their number or size."""
         return (
             len(self._finished) > MAX_CALLS
             or self._answer_bytes > MAX_ANSWER_BYTES
--- a/merlintrail/state/_difference.py
+++ b/merlintrail/state/_difference.py
@@ -1,4 +1,4 @@
-"""Differences between two documents, by place."""
+"""Differences between two configuration documents."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from typing import Any, Final, NamedTuple
@@ -10,15 +10,17 @@
 
 
 class Difference(NamedTuple):
-    """One place in which two documents differ."""
+    """One value that differs between two documents."""
 
-    #: JSON pointer; a named entry of a list stands under its name.
+    #: JSON pointer, with the name of a list entry in place of its index if
+    #: it has a name.
     place: str
+    #: The values as JSON text, or ``ABSENT``.
     earlier: str
     later: str
 
     def __str__(self) -> str:
-        """Return one line for a person."""
+        """Return a one-line description."""
         return f'{self.place or "/"}: {self.earlier} -> {self.later}'
 
 
@@ -27,40 +29,46 @@
 
 
 def _index_entries(entries: Sequence[Any]) -> Mapping[str, Any]:
-    """Index a list by the names of its entries where they have some."""
+    """Index list entries by name, identifier or, failing these, position."""
     indexed = {}
-    for number, entry in enumerate(entries):
-        name: object = number
+    for index, entry in enumerate(entries):
+        name: object = index
         if isinstance(entry, dict):
-            name = entry.get('name', entry.get('id', number))
+            name = entry.get('name', entry.get('id', index))
         indexed[str(name)] = entry
     return indexed
 
 
 def find_differences(
-    earlier: object, later: object, place: str = ''
+    earlier: object, later: object, pointer: str = ''
 ) -> Iterator[Difference]:
-    """Find every place in which two documents differ."""
+    """Find all differences between two documents.
+
+    Lists are compared by the names of their entries, so that a changed order
+    of named entries is not a difference.
+
+    :param pointer: JSON pointer to the documents within larger ones.
+    """
     if isinstance(earlier, list) and isinstance(later, list):
         earlier = _index_entries(earlier)
         later = _index_entries(later)
     if isinstance(earlier, Mapping) and isinstance(later, Mapping):
         for name in dict.fromkeys((*earlier, *later)):
-            yield from _compare_member(earlier, later, name, place)
+            yield from _compare_member(earlier, later, name, pointer)
     elif earlier != later:
-        yield Difference(place, _describe(earlier), _describe(later))
+        yield Difference(pointer, _describe(earlier), _describe(later))
 
 
 def _compare_member(
     earlier: Mapping[str, Any],
     later: Mapping[str, Any],
     name: str,
-    place: str,
+    parent_pointer: str,
 ) -> Iterator[Difference]:
-    inner = f'{place}/{name}'
+    pointer = f'{parent_pointer}/{name}'
     if name not in later:
-        yield Difference(inner, _describe(earlier[name]), ABSENT)
+        yield Difference(pointer, _describe(earlier[name]), ABSENT)
     elif name not in earlier:
-        yield Difference(inner, ABSENT, _describe(later[name]))
+        yield Difference(pointer, ABSENT, _describe(later[name]))
     else:
-        yield from find_differences(earlier[name], later[name], inner)
+        yield from find_differences(earlier[name], later[name], pointer)
--- a/merlintrail/state/_document.py
+++ b/merlintrail/state/_document.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as typed values."""
+"""The configuration document as typed values."""
 
 from collections.abc import Mapping, Sequence
 from datetime import datetime
@@ -8,9 +8,9 @@
 from merlintrail.state._kinds import RequestKind
 from merlintrail.state._routes import Route, RouteTable, ServiceShare
 
-#: Retries over the whole tree of a request for each further attempt that its
-#: route permits, unless the route states them.
-TREE_RETRIES: Final = 4
+#: Number of retries over the whole call tree of a request for each attempt
+#: after the first that its route permits, unless the route states the retries.
+RETRIES_PER_ATTEMPT: Final = 4
 _BYTES_PER_MEGABYTE: Final = 1000000
 _DEFAULT_RETRIES: Final = 2
 _DEFAULT_QUEUE_LIMIT_MS: Final = 100.0
@@ -19,20 +19,22 @@
 
 
 class Service(NamedTuple):
-    """A service and its request kinds, longest path first."""
+    """A service and its request kinds."""
 
     name: str
+    #: Longest path first, so that the first match is the most specific one.
     kinds: tuple[RequestKind, ...]
-    #: Milliseconds that a call may wait for a slot.
+    #: Longest wait of a call for a slot in milliseconds.
     queue_limit_ms: float
-    #: Seconds over which a cold backend server gets its full share.
+    #: Seconds over which the capacity share of a cold backend server grows
+    #: to its full slots.
     warmup_s: float
 
     def find_kind(self, method: str, path: str) -> RequestKind:
         """Return the kind of a request.
 
-        A request that matches none is ``other``: normal, not idempotent
-        and without retries.
+        A request that matches none is of the kind ``other``, with normal
+        importance, not idempotent and without retries.
         """
         for kind in self.kinds:
             if kind.matches(method, path):
@@ -50,7 +52,10 @@
 
 
 class PlannedStop(NamedTuple):
-    """A maintenance window set by the landlord."""
+    """A maintenance window in which instances are shut down.
+
+    It affects either a whole data centre or a set of instances.
+    """
 
     stop_id: str
     data_centre: str | None
@@ -60,60 +65,69 @@
     ends_at: float
 
     def covers(self, instance: str, data_centre: str) -> bool:
-        """Tell whether the window stops that instance."""
+        """Return whether an instance is shut down."""
         return data_centre == self.data_centre or instance in self.instances
 
 
 class LedgerSettings(NamedTuple):
-    """Settings of the at-most-once record."""
+    """Settings of the ledger that ensures at-most-once execution."""
 
+    #: Number of partitions by idempotency key, each with one owner.
     slots: int = 32
-    #: Seconds for which a key is remembered.
+    #: Seconds for which an idempotency key is kept.
     retention_s: float = 600.0
-    #: Writes a second to the store, over all slots.
+    #: Limit on writes per second to the store, over all slots.
     writes_per_s: float = 256.0
-    #: Region whose nodes own the slots; that of the store is the fastest.
+    #: Region whose nodes own the slots while it has any. The region of the
+    #: store gives the lowest latency.
     region: str | None = None
 
 
 class RetryBudgetSettings(NamedTuple):
-    """Bound on the retries of all nodes together."""
+    """Limit on the retries of all nodes together."""
 
     #: Retries as a share of first attempts.
     share: float = 0.1
-    #: Retries to each service that are allowed besides in a window, over
-    #: all nodes; ``None`` for a few at each node.
+    #: Retries to each service that are permitted in each window regardless
+    #: of traffic, over all nodes. ``None`` permits only the initial tokens
+    #: of each node's budget.
     base: float | None = None
+    #: Length in seconds of the window for ``base``.
     window_s: float = 10.0
 
 
 class CallerLimits(NamedTuple):
-    """Bounds on what a caller may send, and how slowly."""
+    """Limits on the size and duration of callers' requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 1048576
+    #: Longest time in milliseconds to receive a request.
     receive_timeout_ms: float = 10000.0
+    #: Milliseconds after which an idle connection is closed.
     idle_timeout_ms: float = 75000.0
 
 
 class Configuration(NamedTuple):
-    """One generation of the operators' document."""
+    """One generation of the configuration."""
 
     generation: int
+    #: Identifier of the change that created the generation.
     change_id: str
+    #: Services by name.
     services: Mapping[str, Service]
     #: Region of each data centre.
     regions: Mapping[str, str]
-    #: Bytes a second for each pair of regions.
+    #: Bytes per second for each linked pair of regions.
     links: Mapping[frozenset[str], float]
     planned_stops: tuple[PlannedStop, ...]
     retry_budget: RetryBudgetSettings
     ledger: LedgerSettings
-    #: Seconds for which a digest stays in quarantine.
+    #: Seconds for which a request stays suspected or quarantined.
     quarantine_expiry_s: float
-    #: The document itself.
+    #: The document from which the configuration was built.
     document: Mapping[str, Any]
-    #: Routes by host and path; without any the path names the service.
+    #: Routes by host and path. If there are none, the path of a request
+    #: names its service.
     routes: RouteTable
     caller_limits: CallerLimits
 
@@ -161,7 +175,7 @@
         read_importance(document['importance']),
         document['idempotent'],
         document['timeout_ms'],
-        document.get('retries', (attempts - 1) * TREE_RETRIES),
+        document.get('retries', (attempts - 1) * RETRIES_PER_ATTEMPT),
         document.get('objective_ms'),
         attempts,
     )
@@ -192,7 +206,7 @@
 def build_configuration(
     document: Mapping[str, Any], generation: int, change_id: str
 ) -> Configuration:
-    """Build the typed configuration from a document that was validated."""
+    """Build the typed configuration from a validated document."""
     services = [_build_service(entry) for entry in document['services']]
     return Configuration(
         generation,
--- a/merlintrail/state/_holder.py
+++ b/merlintrail/state/_holder.py
@@ -1,4 +1,4 @@
-"""The configuration in force at a node."""
+"""The configuration that a node currently applies."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -8,11 +8,12 @@
 
 
 class Envelope(NamedTuple):
-    """A document as it is stored and handed on."""
+    """A configuration document with the data of its last change."""
 
-    #: Raised by one with each accepted change, first 1.
+    #: Incremented by each accepted change, beginning with 1.
     generation: int
-    #: Identifier of the change, by which a lost answer is resolved.
+    #: Identifier of the change. An operator who lost the answer to a change
+    #: finds out by it whether the change was applied.
     change_id: str
     #: Name of the operator's key.
     operator: str
@@ -22,10 +23,7 @@
 
 
 class ConfigurationHolder:
-    """Holds the newest configuration that was offered.
-
-    A lower or equal generation is never accepted, whoever offers it.
-    """
+    """Holds the valid configuration with the highest generation received."""
 
     def __init__(self) -> None:
         self._current: Configuration | None = None
@@ -34,25 +32,28 @@
 
     @property
     def current(self) -> Configuration | None:
-        """The configuration in force, ``None`` before the first."""
+        """The current configuration, ``None`` before the first."""
         return self._current
 
     @property
     def envelope(self) -> Envelope | None:
-        """The document in force."""
+        """The envelope of the current configuration."""
         return self._envelope
 
     @property
     def generation(self) -> int:
-        """Generation in force, 0 before the first."""
+        """The current generation, 0 before the first."""
         return 0 if self._envelope is None else self._envelope.generation
 
     def add_listener(self, listener: Callable[[Configuration], None]) -> None:
-        """Have each newly accepted configuration told."""
+        """Add a function to call with each new configuration."""
         self._listeners.append(listener)
 
     def apply_if_newer(self, envelope: Envelope) -> bool:
-        """Take a document if it is newer and valid."""
+        """Apply a document if its generation is higher and it is valid.
+
+        :returns: whether the document was applied.
+        """
         if envelope.generation <= self.generation:
             return False
         if validate_document(envelope.document):
--- a/merlintrail/state/_kinds.py
+++ b/merlintrail/state/_kinds.py
@@ -1,4 +1,4 @@
-"""Terms on which requests of one kind are served."""
+"""Kinds of requests and the settings that apply to them."""
 
 from typing import NamedTuple
 
@@ -6,22 +6,25 @@
 
 
 class RequestKind(NamedTuple):
-    """One kind of request to a service."""
+    """Requests to a service that share the same settings."""
 
     service: str
     name: str
-    #: Methods that belong to the kind; empty for all.
+    #: HTTP methods of the kind, empty for all.
     methods: frozenset[str]
-    #: Path prefix below the service.
+    #: Path prefix within the service.
     path: str
     importance: Importance
     is_idempotent: bool
+    #: Default and longest time to the deadline in milliseconds.
     deadline_ms: float
-    #: Retries of one request, summed over its whole call tree.
+    #: Number of retries for one request over its whole call tree.
     retries: int
-    #: Milliseconds within which an answer is worth most, if stated.
+    #: Time in milliseconds within which an answer has its full value, if
+    #: stated.
     objective_ms: float | None = None
-    #: Backend servers that one call of the kind may be handed to.
+    #: Number of backend servers that one call may be sent to, ``None`` for
+    #: no limit.
     attempts: int | None = None
 
     @property
@@ -30,7 +33,7 @@
         return f'{self.service}/{self.name}'
 
     def matches(self, method: str, path: str) -> bool:
-        """Tell whether a request belongs to the kind."""
+        """Return whether a request is of this kind."""
         if self.methods and method not in self.methods:
             return False
         prefix = self.path.rstrip('/')
--- a/merlintrail/state/_ledger_index.py
+++ b/merlintrail/state/_ledger_index.py
@@ -1,4 +1,4 @@
-"""Keys of non-idempotent requests that a ledger slot has recorded."""
+"""Idempotency keys recorded in a ledger slot."""
 
 import enum
 from collections import OrderedDict
@@ -8,32 +8,32 @@
 
 
 class KeyState(enum.StrEnum):
-    """What the ledger knows of a key."""
+    """State of an idempotency key in the ledger."""
 
-    #: An append is in flight or the request runs at this owner.
+    #: The request is being recorded or runs at this owner.
     RUNNING = 'running'
-    #: Recorded: it ran, or may have run.
+    #: The request ran or may have run.
     EXECUTED = 'executed'
-    #: Proved not to have run; it may be tried again.
+    #: The request did certainly not run and may be tried again.
     RELEASED = 'released'
 
 
 class KeyRecord(NamedTuple):
-    """One key in the ledger."""
+    """The ledger record of one idempotency key."""
 
     key: str
-    #: Digest of the request that the key belongs to.
+    #: Digest of the request for which the key was used.
     digest: str
     #: Seconds since the epoch.
     recorded_at: float
     state: KeyState
-    #: Identifier of the node that recorded it.
+    #: Identifier of the node that recorded the key.
     owner: str
     answer: HttpResponse | None = None
 
 
 class LedgerIndex:
-    """Keys of one slot, oldest first."""
+    """The records of one ledger slot, in the order of their first entry."""
 
     def __init__(self) -> None:
         self._records: OrderedDict[str, KeyRecord] = OrderedDict()
@@ -47,11 +47,18 @@
         return self._records.get(key)
 
     def put(self, record: KeyRecord) -> None:
-        """Record a key, or replace what is known of it."""
+        """Add or replace the record of a key."""
         self._records[record.key] = record
 
     def remove_older(self, oldest: float) -> int:
-        """Remove keys recorded before a time; return how many."""
+        """Remove leading records that are older than a time.
+
+        It stops at the first record that is recent enough or running.
+
+        :param oldest: time of the oldest record to keep, in seconds since
+            the epoch.
+        :returns: number of removed records.
+        """
         removed = 0
         while self._records:
             first = next(iter(self._records.values()))
--- a/merlintrail/state/_members.py
+++ b/merlintrail/state/_members.py
@@ -1,4 +1,4 @@
-"""The table of nodes and the rule by which news of them is merged."""
+"""The table of nodes and the rule by which updates of it are merged."""
 
 import enum
 from collections.abc import Callable, Iterable, Iterator, Sequence
@@ -8,15 +8,18 @@
 
 from merlintrail.protocol import encode_json
 
-#: Seconds for which a member that left is remembered.
+#: Seconds for which a member that left is kept in the table.
 LEFT_RETENTION_S: Final = 120.0
-#: Seconds for which a member that fell silent is remembered, so that
-#: regions that were apart find each other again.
+#: Seconds for which a dead member is kept in the table. They are many, so
+#: that regions find each other again after a network partition.
 DEAD_RETENTION_S: Final = 7200.0
 
 
 class MemberStatus(enum.IntEnum):
-    """State of a member; of equal news the higher one counts."""
+    """State of a member, in ascending order of precedence.
+
+    Among updates of one version the higher status prevails.
+    """
 
     ALIVE = 0
     DRAINING = 1
@@ -26,7 +29,7 @@
 
     @property
     def has_departed(self) -> bool:
-        """Whether the member takes no further part."""
+        """Whether the member is dead or has left."""
         return self >= MemberStatus.DEAD
 
 
@@ -34,25 +37,27 @@
     """A backend server beside a node."""
 
     service: str
+    #: Number of calls that the backend server can run at a time.
     slots: int
-    #: Whether it takes new calls.
+    #: Whether it accepts new calls.
     is_ready: bool = True
 
 
 class Member(NamedTuple):
-    """What is known of one node."""
+    """The state of one node as the members exchange it."""
 
     node_id: str
-    #: Set at start; a later process at the same place has a higher one.
+    #: Set at the start of the process. A later process with the same
+    #: identifier has a higher one.
     incarnation: int
-    #: Raised by the member itself with each change.
+    #: Incremented by the member itself with each change.
     version: int
     #: Value of :class:`MemberStatus`.
     status: int
     data_centre: str
     #: ``host:port`` for callers.
     call_address: str
-    #: ``host:port`` for nodes.
+    #: ``host:port`` for other nodes.
     peer_address: str
     offers: tuple[ServiceOffer, ...] = ()
     #: Whether the node watches the store for its data centre.
@@ -60,12 +65,12 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """Precedence among news of the same member."""
+        """Sort key for updates of one member; the highest prevails."""
         return (self.incarnation, self.version, self.status)
 
     @property
     def has_departed(self) -> bool:
-        """Whether the member takes no further part."""
+        """Whether the member is dead or has left."""
         return self.status >= MemberStatus.DEAD
 
     def find_offer(self, service: str) -> ServiceOffer | None:
@@ -79,7 +84,7 @@
 def read_member(document: object) -> Member | None:
     """Read a member from a JSON array in the order of the fields.
 
-    :returns: ``None`` when the array does not have that shape.
+    :returns: ``None`` if the array does not have that shape.
     """
     if not isinstance(document, Sequence) or len(document) != len(
         Member._fields
@@ -97,80 +102,91 @@
 
 
 def compute_member_hash(member: Member) -> int:
-    """Compute the hash of one member's news."""
-    news = (member.node_id, *member.order)
-    digest: int = xxhash.xxh3_64_intdigest(encode_json(news))
+    """Return a hash of a member's identifier and update order."""
+    identity = (member.node_id, *member.order)
+    digest: int = xxhash.xxh3_64_intdigest(encode_json(identity))
     return digest
 
 
 class MemberTable:
-    """All members that a node knows, with a digest of the whole."""
+    """All members that a node knows, with a digest of the whole table."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
         self._members: dict[str, Member] = {}
-        self._gone_since: dict[str, float] = {}
+        #: Clock times at which members departed.
+        self._departed_at: dict[str, float] = {}
+        #: Exclusive or of the hashes of all members.
         self._digest = 0
         self._listeners: list[Callable[[Member | None, Member], None]] = []
 
     def __len__(self) -> int:
-        """Return the number of members known, gone ones included."""
+        """Return the number of members, including departed ones."""
         return len(self._members)
 
     def __iter__(self) -> Iterator[Member]:
-        """Iterate over all members known."""
+        """Iterate over all members, including departed ones."""
         return iter(self._members.values())
 
     @property
     def digest(self) -> int:
-        """Hash that equals another node's when both know the same."""
+        """Hash by which nodes detect that their tables differ."""
         return self._digest
 
     def add_listener(
         self, listener: Callable[[Member | None, Member], None]
     ) -> None:
-        """Have each change told, with what was known before."""
+        """Add a function to call after each change of a member.
+
+        It receives the previous state, ``None`` for a new member, and the
+        new one.
+        """
         self._listeners.append(listener)
 
     def find(self, node_id: str) -> Member | None:
-        """Return what is known of a member."""
+        """Return a member by its identifier."""
         return self._members.get(node_id)
 
     def list_active(self) -> list[Member]:
-        """Return the members that are not gone."""
+        """Return the members that have not departed."""
         return [member for member in self if not member.has_departed]
 
-    def merge(self, news: Iterable[Member]) -> list[Member]:
-        """Take news and return those that were new."""
-        return [member for member in news if self._merge_one(member)]
+    def merge(self, updates: Iterable[Member]) -> list[Member]:
+        """Merge updates and return those that changed the table."""
+        return [member for member in updates if self._merge_one(member)]
 
     def remove_expired(self) -> None:
-        """Remove members that have been gone for long."""
+        """Remove departed members whose retention time has passed."""
         now = self._clock()
-        for node_id, since in tuple(self._gone_since.items()):
+        for node_id, departed_at in tuple(self._departed_at.items()):
             member = self._members[node_id]
             retention_s = DEAD_RETENTION_S
             if member.status == MemberStatus.LEFT:
                 retention_s = LEFT_RETENTION_S
-            if now - since > retention_s:
+            if now - departed_at > retention_s:
                 del self._members[node_id]
                 self._digest ^= compute_member_hash(member)
-                del self._gone_since[node_id]
+                del self._departed_at[node_id]
 
     def _merge_one(self, member: Member) -> bool:
-        known = self._members.get(member.node_id)
-        if known is not None and known.order >= member.order:
+        """Merge an update and return whether it changed the table.
+
+        An update is ignored unless it is newer than the current state. So is
+        the departure of an unknown member, which has nothing to remove.
+        """
+        previous = self._members.get(member.node_id)
+        if previous is not None and previous.order >= member.order:
             return False
-        if known is None and member.has_departed:
+        if previous is None and member.has_departed:
             return False
-        if known is not None:
-            self._digest ^= compute_member_hash(known)
+        if previous is not None:
+            self._digest ^= compute_member_hash(previous)
         self._members[member.node_id] = member
         self._digest ^= compute_member_hash(member)
         if member.has_departed:
-            self._gone_since.setdefault(member.node_id, self._clock())
+            self._departed_at.setdefault(member.node_id, self._clock())
         else:
-            self._gone_since.pop(member.node_id, None)
+            self._departed_at.pop(member.node_id, None)
         for listener in self._listeners:
-            listener(known, member)
+            listener(previous, member)
         return True
--- a/merlintrail/state/_message_sizes.py
+++ b/merlintrail/state/_message_sizes.py
@@ -1,26 +1,32 @@
-"""Sizes of messages, by the sort of call."""
+"""Average message sizes by class of call."""
 
 from typing import Final
 
-#: Weight of a new sample in the mean size.
+#: Weight of a new sample in the moving average of the size.
 SIZE_WEIGHT: Final = 0.1
-#: Sorts of calls whose sizes are kept.
-MAX_SORTS: Final = 1024
+#: Number of call classes at which a new one discards all averages.
+MAX_CALL_CLASSES: Final = 1024
 
 
 class MessageSizes:
-    """Mean bytes of a call and its answer, bodies and headers, by sort."""
+    """Moving averages of the total size of a call and its answer.
+
+    The size is in bytes and includes headers and bodies.
+    """
 
     def __init__(self) -> None:
         self._sizes: dict[str, float] = {}
 
-    def record(self, sort: str, size: int) -> None:
-        """Take the bytes of one call and its answer."""
-        if len(self._sizes) >= MAX_SORTS and sort not in self._sizes:
+    def record(self, call_class: str, size: int) -> None:
+        """Record the size of a call and its answer."""
+        if (
+            len(self._sizes) >= MAX_CALL_CLASSES
+            and call_class not in self._sizes
+        ):
             self._sizes.clear()
-        known = self._sizes.get(sort, size)
-        self._sizes[sort] = known + (size - known) * SIZE_WEIGHT
+        average = self._sizes.get(call_class, size)
+        self._sizes[call_class] = average + (size - average) * SIZE_WEIGHT
 
-    def read(self, sort: str) -> float:
-        """Return the mean bytes, 0 for a sort that is not known."""
-        return self._sizes.get(sort, 0.0)
+    def read(self, call_class: str) -> float:
+        """Return the average size, or 0 for an unknown class."""
+        return self._sizes.get(call_class, 0.0)
--- a/merlintrail/state/_routes.py
+++ b/merlintrail/state/_routes.py
@@ -1,36 +1,37 @@
-"""Routes by host and path prefix, and splits of a route by weight."""
+"""Routing of requests to services by host, path prefix and weight."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from typing import Final, NamedTuple
 
 from merlintrail.state._kinds import RequestKind
 
-#: Steps over which the places at which nodes begin a split are spread.
-CYCLE_STEPS: Final = 100
+#: Number of steps of the round robin over which the initial positions of the
+#: nodes are spread at random.
+MAX_INITIAL_STEPS: Final = 100
 
 
 class ServiceShare(NamedTuple):
-    """A service that takes a part of a route's requests."""
+    """A service and its share of a route's requests."""
 
     service: str
-    #: Part of the requests in relation to the sum of all weights.
+    #: Share of the requests relative to the sum of the weights.
     weight: float
 
 
 class Route(NamedTuple):
-    """Requests of one host and path prefix."""
+    """A rule for the requests with one host and path prefix."""
 
     host: str
-    #: Begins and ends with a slash.
+    #: Path prefix that begins and ends with a slash.
     prefix: str
-    #: One entry for a route that is not split.
+    #: Services of the requests, only one unless the route is split.
     shares: tuple[ServiceShare, ...]
-    #: Terms of the requests; its service is that of the first share.
+    #: Settings for the requests. Its service is that of the first share.
     kind: RequestKind
 
 
 class RouteTable:
-    """Finds the route of a request: same host, longest prefix."""
+    """Finds the route with the longest matching prefix for a request."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self._by_host: dict[str, dict[str, Route]] = {}
@@ -39,19 +40,19 @@
             prefixes[route.prefix] = route
 
     def __bool__(self) -> bool:
-        """Tell whether there is any route."""
+        """Return whether there are any routes."""
         return bool(self._by_host)
 
     def __iter__(self) -> Iterator[Route]:
-        """Return every route, by host and prefix."""
+        """Iterate over the routes in the order of host and prefix."""
         for _, prefixes in sorted(self._by_host.items()):
             for _, route in sorted(prefixes.items()):
                 yield route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, ``None`` when there is none.
+        """Return the route of a request, or ``None`` if there is none.
 
-        :param host: the Host header; a port in it is ignored.
+        :param host: the Host header; case and port are ignored.
         :param path: the path without the query.
         """
         prefixes = self._find_prefixes(host.lower())
@@ -66,51 +67,57 @@
         return None
 
     def _find_prefixes(self, host: str) -> Mapping[str, Route] | None:
-        found = self._by_host.get(host)
-        if found is None and ':' in host:
+        """Return the routes of a host by prefix."""
+        prefixes = self._by_host.get(host)
+        if prefixes is None and ':' in host:
             return self._by_host.get(host.rpartition(':')[0])
-        return found
+        return prefixes
 
 
-class _Split:
-    """Smooth weighted round robin over the shares of one route."""
+class _WeightedRoundRobin:
+    """Smooth weighted round robin over the shares of one route.
+
+    With each choice every share gains a credit of its weight, and the share
+    with the highest credit is chosen and charged the sum of the weights.
+    """
 
     def __init__(self, shares: tuple[ServiceShare, ...], start: float) -> None:
-        """Begin a split.
+        """Initialize the round robin.
 
-        :param start: place in the cycle from 0 to 1, so that many nodes
-            together do not favour one share.
+        :param start: initial position from 0 to 1. It should be random, so
+            that many nodes together do not favour one share.
         """
         self.shares = shares
         self._total = sum(share.weight for share in shares)
         self._credits = [0.0 for _ in shares]
-        for _ in range(int(start * CYCLE_STEPS)):
+        for _ in range(int(start * MAX_INITIAL_STEPS)):
             self.choose()
 
     def choose(self) -> str:
-        """Return the service that is owed the next request."""
-        for place, share in enumerate(self.shares):
-            self._credits[place] += share.weight
+        """Return the service for the next request."""
+        for index, share in enumerate(self.shares):
+            self._credits[index] += share.weight
         best = max(range(len(self.shares)), key=self._credits.__getitem__)
         self._credits[best] -= self._total
         return self.shares[best].service
 
 
 class RouteSplitter:
-    """Divides the requests of split routes among their services."""
+    """Distributes the requests of split routes among their services."""
 
     def __init__(self) -> None:
-        self._splits: dict[str, _Split] = {}
+        self._round_robins: dict[str, _WeightedRoundRobin] = {}
 
     def choose(self, route: Route, draw: float) -> str:
         """Return the service for the next request of a route.
 
-        :param draw: random number from 0 to 1, used once for each split.
+        :param draw: random number from 0 to 1, which is used only when the
+            distribution of a new or changed route is initialized.
         """
         if len(route.shares) == 1:
             return route.shares[0].service
-        split = self._splits.get(route.kind.name)
-        if split is None or split.shares != route.shares:
-            split = _Split(route.shares, draw)
-            self._splits[route.kind.name] = split
-        return split.choose()
+        round_robin = self._round_robins.get(route.kind.name)
+        if round_robin is None or round_robin.shares != route.shares:
+            round_robin = _WeightedRoundRobin(route.shares, draw)
+            self._round_robins[route.kind.name] = round_robin
+        return round_robin.choose()
--- a/merlintrail/state/_validation.py
+++ b/merlintrail/state/_validation.py
@@ -1,4 +1,4 @@
-"""Checks of a configuration document; all findings come together."""
+"""Validation of configuration documents."""
 
 import json
 from collections import Counter
@@ -13,26 +13,26 @@
 
 
 class Finding(NamedTuple):
-    """One fault and its place."""
+    """One fault of a document."""
 
-    #: JSON pointer into the document.
+    #: JSON pointer to the faulty value.
     place: str
     message: str
 
     def __str__(self) -> str:
-        """Return one line for a person."""
+        """Return a one-line description."""
         return f'{self.place or "/"}: {self.message}'
 
 
 class ParsedDocument(NamedTuple):
-    """A document read from text, with what is wrong with it."""
+    """A document parsed from text, with its faults."""
 
     document: Mapping[str, Any]
     findings: tuple[Finding, ...]
 
 
 def load_schema() -> Mapping[str, Any]:
-    """Load the JSON Schema of the document."""
+    """Load the JSON Schema of the configuration document."""
     text = resources.files('merlintrail.state').joinpath(_SCHEMA_NAME)
     schema: Mapping[str, Any] = json.loads(text.read_text())
     return schema
@@ -41,7 +41,7 @@
 def find_schema_faults(
     document: object, schema: Mapping[str, Any]
 ) -> list[Finding]:
-    """Check a document against a schema."""
+    """Return the faults of a document according to a schema."""
     validator = jsonschema.Draft202012Validator(
         schema, format_checker=jsonschema.Draft202012Validator.FORMAT_CHECKER
     )
@@ -54,10 +54,10 @@
 
 
 def parse_json_object(text: str) -> ParsedDocument:
-    """Read a JSON object, with a finding for each name given twice."""
+    """Parse a JSON object, with a finding for each duplicate name."""
     findings: list[Finding] = []
 
-    def collect(pairs: Sequence[tuple[str, Any]]) -> dict[str, Any]:
+    def build_object(pairs: Sequence[tuple[str, Any]]) -> dict[str, Any]:
         counts = Counter(name for name, _ in pairs)
         findings.extend(
             Finding('', f'the name {name!r} is given {count} times')
@@ -67,7 +67,7 @@
         return dict(pairs)
 
     try:
-        document = json.loads(text, object_pairs_hook=collect)
+        document = json.loads(text, object_pairs_hook=build_object)
     except (json.JSONDecodeError, RecursionError) as error:
         return ParsedDocument({}, (Finding('', f'not JSON: {error}'),))
     if not isinstance(document, dict):
@@ -76,7 +76,7 @@
 
 
 def parse_document(text: str) -> ParsedDocument:
-    """Read and validate a configuration document."""
+    """Parse and validate a configuration document."""
     parsed = parse_json_object(text)
     if parsed.findings:
         return parsed
@@ -86,9 +86,10 @@
 
 
 def validate_document(document: Mapping[str, Any]) -> list[Finding]:
-    """Return every finding of a document; an empty list means it is valid.
+    """Return all faults of a document, an empty list if it is valid.
 
-    Cross-checks need the right shape, so they follow a clean schema check.
+    The checks across values rely on the schema, so they are made only if the
+    document conforms to it.
     """
     findings = find_schema_faults(document, load_schema())
     if not findings:
@@ -99,33 +100,33 @@
     return sorted(findings)
 
 
-def _find_repeated(
-    names: Sequence[str], place: str, what: str
+def _find_duplicates(
+    names: Sequence[str], pointer: str, noun: str
 ) -> Iterator[Finding]:
     seen: set[str] = set()
     for index, name in enumerate(names):
         if name in seen:
-            yield Finding(f'{place}/{index}', f'{what} {name!r} is repeated')
+            yield Finding(f'{pointer}/{index}', f'{noun} {name!r} is repeated')
         seen.add(name)
 
 
 def _check_names(document: Mapping[str, Any]) -> Iterator[Finding]:
     services = document['services']
-    yield from _find_repeated(
+    yield from _find_duplicates(
         [service['name'] for service in services], '/services', 'service'
     )
     for index, service in enumerate(services):
-        place = f'/services/{index}/kinds'
+        pointer = f'/services/{index}/kinds'
         kinds = service.get('kinds', ())
         names = [kind['name'] for kind in kinds]
-        yield from _find_repeated(names, place, 'kind')
+        yield from _find_duplicates(names, pointer, 'kind')
         patterns = [
             f'{",".join(sorted(kind.get("methods", ("all",))))} {kind["path"]}'
             for kind in kinds
         ]
-        yield from _find_repeated(patterns, place, 'methods and path')
+        yield from _find_duplicates(patterns, pointer, 'methods and path')
     regions = document['regions']
-    yield from _find_repeated(
+    yield from _find_duplicates(
         [region['name'] for region in regions], '/regions', 'region'
     )
     seen: set[str] = set()
@@ -141,10 +142,10 @@
 
 def _check_routes(document: Mapping[str, Any]) -> Iterator[Finding]:
     routes = document.get('routes', ())
-    yield from _find_repeated(
+    yield from _find_duplicates(
         [route['name'] for route in routes], '/routes', 'route'
     )
-    yield from _find_repeated(
+    yield from _find_duplicates(
         [f'{route["host"].lower()}{route["prefix"]}' for route in routes],
         '/routes',
         'host and prefix',
@@ -155,18 +156,18 @@
 
 
 def _check_route(
-    route: Mapping[str, Any], place: str, services: Set[str]
+    route: Mapping[str, Any], pointer: str, services: Set[str]
 ) -> Iterator[Finding]:
     if ('service' in route) == ('split' in route):
-        yield Finding(place, 'give either service or split')
+        yield Finding(pointer, 'give either service or split')
     split = route.get('split', ())
     names = [entry['service'] for entry in split]
-    yield from _find_repeated(names, f'{place}/split', 'service')
+    yield from _find_duplicates(names, f'{pointer}/split', 'service')
     if split and not any(entry['weight'] for entry in split):
-        yield Finding(f'{place}/split', 'at least one weight must be above 0')
+        yield Finding(f'{pointer}/split', 'at least one weight must be above 0')
     for name in (*names, route.get('service')):
         if name is not None and name not in services:
-            yield Finding(place, f'unknown service {name!r}')
+            yield Finding(pointer, f'unknown service {name!r}')
 
 
 def _check_links(document: Mapping[str, Any]) -> Iterator[Finding]:
@@ -176,14 +177,14 @@
         yield Finding('/ledger/region', f'unknown region {ledger_region!r}')
     pairs: set[frozenset[str]] = set()
     for index, link in enumerate(document.get('links', ())):
-        place = f'/links/{index}/regions'
+        pointer = f'/links/{index}/regions'
         pair = frozenset(link['regions'])
         for name in sorted(pair - regions):
-            yield Finding(place, f'unknown region {name!r}')
+            yield Finding(pointer, f'unknown region {name!r}')
         if len(pair) == 1:
-            yield Finding(place, 'a link joins two regions')
+            yield Finding(pointer, 'a link must join two different regions')
         if pair in pairs:
-            yield Finding(place, 'the pair of regions is repeated')
+            yield Finding(pointer, 'the pair of regions is repeated')
         pairs.add(pair)
 
 
@@ -194,33 +195,33 @@
         for data_centre in region['data_centres']
     }
     stops = document.get('planned_stops', ())
-    yield from _find_repeated(
+    yield from _find_duplicates(
         [stop['id'] for stop in stops], '/planned_stops', 'planned stop'
     )
     for index, stop in enumerate(stops):
-        place = f'/planned_stops/{index}'
-        yield from _check_window(stop, place)
-        known = stop.get('data_centre') in data_centres
-        if 'data_centre' in stop and not known:
+        pointer = f'/planned_stops/{index}'
+        yield from _check_window(stop, pointer)
+        is_known = stop.get('data_centre') in data_centres
+        if 'data_centre' in stop and not is_known:
             yield Finding(
-                f'{place}/data_centre',
+                f'{pointer}/data_centre',
                 f'unknown data centre {stop["data_centre"]!r}',
             )
         if ('data_centre' in stop) == ('instances' in stop):
-            yield Finding(place, 'give either data_centre or instances')
+            yield Finding(pointer, 'give either data_centre or instances')
 
 
-def _check_window(stop: Mapping[str, Any], place: str) -> Iterator[Finding]:
-    times = []
+def _check_window(stop: Mapping[str, Any], pointer: str) -> Iterator[Finding]:
+    timestamps = []
     for name in ('starts_at', 'ends_at'):
         try:
-            moment = datetime.fromisoformat(stop[name])
+            timestamp = datetime.fromisoformat(stop[name])
         except ValueError:
-            yield Finding(f'{place}/{name}', 'not a date and time (ISO 8601)')
+            yield Finding(f'{pointer}/{name}', 'not a date and time (ISO 8601)')
             continue
-        if moment.tzinfo is None:
-            yield Finding(f'{place}/{name}', 'needs an offset from UTC')
+        if timestamp.tzinfo is None:
+            yield Finding(f'{pointer}/{name}', 'needs an offset from UTC')
             continue
-        times.append(moment)
-    if len(times) == 2 and times[0] >= times[1]:
-        yield Finding(place, 'ends_at must be later than starts_at')
+        timestamps.append(timestamp)
+    if len(timestamps) == 2 and timestamps[0] >= timestamps[1]:
+        yield Finding(pointer, 'ends_at must be later than starts_at')
