--- a/merlintrail/state/tests/test_admission.py
+++ b/merlintrail/state/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Order of refusals, deadlines, and order within the queue."""
+"""Tests of admission control and of the shedding controller."""
 
 import asyncio
 import unittest
@@ -28,12 +28,12 @@
     admission: AdmissionController,
     importance: int,
     held_s: float,
-    patience_s: float,
+    timeout_s: float,
 ) -> Refusal | None:
-    """Ask for a slot, hold it, and return the refusal if there was one."""
+    """Request a slot and hold it; return the refusal if there was one."""
     loop = asyncio.get_running_loop()
     refusal = await admission.admit(
-        AdmissionRequest(importance * SUBLEVELS, loop.time() + patience_s)
+        AdmissionRequest(importance * SUBLEVELS, loop.time() + timeout_s)
     )
     if refusal is None:
         await asyncio.sleep(held_s)
@@ -43,10 +43,10 @@
 
 
 class AdmissionControllerTest(unittest.TestCase):
-    """AdmissionController to one backend server."""
+    """Calls to one backend server."""
 
-    def test_important_arrival_pushes_out_lesser(self) -> None:
-        """The least important call that waits makes room."""
+    def test_important_call_evicts_less_important_one(self) -> None:
+        """If the queue is full, the least important waiting call goes."""
 
         async def scenario() -> Sequence[Refusal | None]:
             admission = _create_admission(1)
@@ -66,8 +66,8 @@
         self.assertIsNotNone(second)
         self.assertIsNone(third)
 
-    def test_refuses_at_once_what_cannot_finish(self) -> None:
-        """Waiting and service time together exceed the deadline."""
+    def test_refuses_call_that_would_miss_its_deadline(self) -> None:
+        """Expected wait and service time exceed the remaining time."""
 
         async def scenario() -> tuple[Refusal | None, float]:
             admission = _create_admission(1)
@@ -77,9 +77,9 @@
             )
             await asyncio.sleep(0)
             loop = asyncio.get_running_loop()
-            asked_at = loop.time()
+            requested_at = loop.time()
             refusal = await _hold(admission, Importance.CRITICAL, 1.0, 1.5)
-            waited_s = loop.time() - asked_at
+            waited_s = loop.time() - requested_at
             await running
             return refusal, waited_s
 
@@ -88,8 +88,8 @@
         self.assertEqual(refusal.reason, Reason.DEADLINE)
         self.assertEqual(waited_s, 0)
 
-    def test_cancelled_call_frees_its_place(self) -> None:
-        """A caller that leaves neither runs nor keeps a slot."""
+    def test_cancelled_call_leaves_the_queue(self) -> None:
+        """A call cancelled while it waits neither runs nor keeps a slot."""
 
         async def scenario() -> tuple[int, int]:
             admission = _create_admission(1)
@@ -108,8 +108,11 @@
 
         self.assertEqual(run_virtually(scenario()), (0, 0))
 
-    def test_lesser_calls_are_given_up_first(self) -> None:
-        """No lesser call is served after an important one was refused."""
+    def test_lower_priority_calls_are_evicted_first(self) -> None:
+        """None of them is started after a more important one was refused.
+
+        Their longer deadlines would let them wait until slots are free.
+        """
 
         async def scenario() -> list[tuple[float, int, bool]]:
             admission = _create_admission(1)
@@ -120,8 +123,8 @@
 
             async def arrive(number: int, importance: int) -> None:
                 await asyncio.sleep(number * 0.001)
-                patience_s = 1.0 if importance == Importance.NORMAL else 0.3
-                refusal = await _hold(admission, importance, 0.1, patience_s)
+                timeout_s = 1.0 if importance == Importance.NORMAL else 0.3
+                refusal = await _hold(admission, importance, 0.1, timeout_s)
                 ends.append((loop.time(), importance, refusal is None))
 
             await asyncio.gather(
@@ -135,21 +138,21 @@
 
         ends = run_virtually(scenario())
         refused = [
-            moment
-            for moment, importance, is_served in ends
+            ended_at
+            for ended_at, importance, is_served in ends
             if importance == Importance.CRITICAL and not is_served
         ]
         self.assertTrue(refused)
         started_after = [
-            moment
-            for moment, importance, is_served in ends
+            ended_at
+            for ended_at, importance, is_served in ends
             if (importance, is_served) == (Importance.NORMAL, True)
-            and moment - 0.1 > min(refused)
+            and ended_at - 0.1 > min(refused)
         ]
         self.assertEqual(started_after, [])
 
-    def test_newest_first_when_overloaded(self) -> None:
-        """An overloaded queue does not serve the calls that gave up."""
+    def test_overloaded_queue_is_last_in_first_out(self) -> None:
+        """In arrival order it would serve calls about to time out."""
 
         async def scenario() -> list[int]:
             admission = _create_admission(1)
@@ -179,36 +182,36 @@
         ),
         slots=st.integers(1, 3),
     )
-    def test_slots_are_never_exceeded_nor_lost(
+    def test_slots_are_neither_exceeded_nor_lost(
         self, arrivals: list[tuple[Importance, float, float]], slots: int
     ) -> None:
-        """Random arrivals: the limit holds, and every slot comes back."""
+        """Random arrivals keep the limit, and all slots are released."""
 
         async def scenario() -> tuple[int, int, int]:
             admission = _create_admission(slots)
-            most = 0
+            most_running = 0
 
             async def arrive(
-                importance: Importance, pause_s: float, held_s: float
+                importance: Importance, delay_s: float, held_s: float
             ) -> None:
-                nonlocal most  # noqa: WPS420
-                await asyncio.sleep(pause_s)
+                nonlocal most_running  # noqa: WPS420
+                await asyncio.sleep(delay_s)
                 await _hold(admission, importance, held_s, 0.5)
-                most = max(most, admission.running)
+                most_running = max(most_running, admission.running)
 
             await asyncio.gather(*(arrive(*arrival) for arrival in arrivals))
-            return most, admission.running, admission.queued
+            return most_running, admission.running, admission.queued
 
-        most, running, queued = run_virtually(scenario())
-        self.assertLessEqual(most, slots)
+        most_running, running, queued = run_virtually(scenario())
+        self.assertLessEqual(most_running, slots)
         self.assertEqual((running, queued), (0, 0))
 
 
 class SheddingControllerTest(unittest.TestCase):
-    """The level follows load and falls back."""
+    """The shedding level under and after an overload."""
 
-    def test_level_rises_to_what_fits_and_falls_back(self) -> None:
-        """Twice the capacity, then calm: the lower half is shed."""
+    def test_level_follows_the_overload(self) -> None:
+        """At twice the capacity the lower half is shed, later nothing."""
         shedder = SheddingController(0.0)
         now = 0.0
         for _ in range(400):
--- a/merlintrail/state/tests/test_limits.py
+++ b/merlintrail/state/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits find out why a backend server is slow."""
+"""Tests of the adaptive concurrency limit."""
 
 import unittest
 from collections.abc import Callable
@@ -12,7 +12,7 @@
     seconds: float,
     now: float,
 ) -> float:
-    """Keep a backend server saturated; return the time after that."""
+    """Keep a backend server saturated and return the time at the end."""
     end = now + seconds
     while now < end:
         running = limit.limit
@@ -23,24 +23,24 @@
 
 
 class AdaptiveLimitTest(unittest.TestCase):
-    """Two causes of slowness, and the backend server's own refusals."""
+    """Reactions to slowness and to refusals of the backend server."""
 
-    def test_crowded_server_gets_fewer_calls(self) -> None:
-        """Latency grows with the square of the calls: fewer are better."""
+    def test_contention_lowers_the_limit(self) -> None:
+        """The latency grows with the square of the running calls."""
         limit = create_limit(40, 0.0)
         now = _drive(limit, lambda running: 0.01, 2, 0.0)
         _drive(limit, lambda running: 0.001 * running**2 / 4, 60, now)
         self.assertLess(limit.limit, 30)
 
-    def test_slow_server_keeps_its_calls(self) -> None:
-        """Every call is ten times slower: fewer would only cost goodput."""
+    def test_slowness_without_contention_keeps_the_limit(self) -> None:
+        """A lower limit would only reduce the throughput."""
         limit = create_limit(40, 0.0)
         now = _drive(limit, lambda running: 0.01, 2, 0.0)
         _drive(limit, lambda running: 0.1, 60, now)
         self.assertGreaterEqual(limit.limit, 36)
 
-    def test_own_refusals_lower_it_and_it_recovers(self) -> None:
-        """Refusals lower the limit, quiet saturation raises it again."""
+    def test_refusals_lower_the_limit_until_it_recovers(self) -> None:
+        """Saturation without slowness raises it again."""
         limit = create_limit(20, 0.0)
         now = 0.0
         for _ in range(10):
@@ -50,15 +50,15 @@
         _drive(limit, lambda running: 0.01, 20, now)
         self.assertEqual(limit.limit, 19)
 
-    def test_refusals_of_an_idle_server_are_its_own_fault(self) -> None:
-        """A server that fails part of its calls keeps its slots."""
+    def test_refusals_at_low_load_keep_the_limit(self) -> None:
+        """They indicate a fault rather than a lack of slots."""
         limit = create_limit(20, 0.0)
         for step in range(50):
             limit.record_refusal(step * 0.5, 3)
         self.assertEqual(limit.limit, 19)
 
-    def test_never_above_the_announced_slots(self) -> None:
-        """Slots are a ceiling, also when they change."""
+    def test_limit_never_exceeds_the_announced_slots(self) -> None:
+        """This also holds when the number of slots changes."""
         limit = create_limit(10, 0.0)
         now = _drive(limit, lambda running: 0.001, 10, 0.0)
         self.assertEqual(limit.limit, 9)
--- a/merlintrail/state/tests/test_load_decisions.py
+++ b/merlintrail/state/tests/test_load_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions under the worst load, replayed without input and output."""
+"""Tests of load decisions in overload situations, without I/O."""
 
 import random
 import unittest
@@ -28,60 +28,65 @@
 
 
 class WaitingLoadTest(unittest.TestCase):
-    """A deep service whose callers wait, so that they call no more often."""
+    """Shedding by a service that mostly receives nested calls.
+
+    Its callers wait for their calls and make no further ones meanwhile, so
+    its arrivals never exceed its completions. The overload shows only in the
+    number of waiting calls.
+    """
 
     def drive(
         self, shedder: SheddingController, waiting: int, seconds: float
     ) -> None:
-        """Complete as many calls as arrive while some wait."""
+        """Complete as many calls as arrive while a number of calls waits."""
         for _ in range(int(seconds * 100)):
             self.now += 0.01
             shedder.record_occupancy(self.now, 9, waiting, 9)
-            for place in range(0, SUBLEVELS, 8):
-                priority = _NORMAL + place + self.draw.randrange(8)
+            for sublevel in range(0, SUBLEVELS, 8):
+                priority = _NORMAL + sublevel + self.rng.randrange(8)
                 if not is_shed(priority, shedder.level):
                     shedder.record_arrival(self.now, priority)
                     shedder.record_completion(0.055)
 
     def setUp(self) -> None:
         self.now = 0.0
-        self.draw = random.Random(1)
+        self.rng = random.Random(1)
         self.shedder = SheddingController(0.0)
 
-    def test_level_rises_with_the_waiting_load(self) -> None:
-        """Arrivals never exceed completions, and still it sheds."""
+    def test_waiting_calls_raise_the_level(self) -> None:
+        """It rises although arrivals do not exceed completions."""
         self.drive(self.shedder, 9, 1.5)
         self.assertGreater(self.shedder.read_level(self.now), _NORMAL + 8)
 
-    def test_level_rises_no_faster_than_it_shows(self) -> None:
-        """One step, then time for it to show."""
+    def test_level_rises_at_most_once_per_feedback_delay(self) -> None:
+        """A raised level needs time to take effect before it is raised."""
         self.drive(self.shedder, 9, 0.3)
-        first = self.shedder.read_level(self.now)
+        first_level = self.shedder.read_level(self.now)
         self.drive(self.shedder, 9, 0.15)
-        self.assertEqual(self.shedder.read_level(self.now), first)
+        self.assertEqual(self.shedder.read_level(self.now), first_level)
 
     def test_level_falls_slowly_while_slots_are_in_use(self) -> None:
-        """A service that is just full is not filled anew at once."""
+        """A fast fall would overload a service that is just full again."""
         self.drive(self.shedder, 9, 1.5)
-        high = self.shedder.read_level(self.now)
+        peak = self.shedder.read_level(self.now)
         self.drive(self.shedder, 0, 1.0)
         level = self.shedder.read_level(self.now)
-        self.assertLess(level, high)
-        self.assertGreater(level, high - 16)
+        self.assertLess(level, peak)
+        self.assertGreater(level, peak - 16)
 
-    def test_some_of_each_class_pass(self) -> None:
-        """No kind is shut out, whatever the level."""
+    def test_some_sublevels_of_each_class_are_exempt(self) -> None:
+        """No importance class is shut out entirely at any level."""
         for importance in Importance:
             passing = [
-                place
-                for place in range(SUBLEVELS)
-                if not is_shed(importance * SUBLEVELS + place, 127)
+                sublevel
+                for sublevel in range(SUBLEVELS)
+                if not is_shed(importance * SUBLEVELS + sublevel, 127)
             ]
             self.assertEqual(len(passing), 4)
 
 
-class PlacementTest(unittest.TestCase):
-    """Where requests and the calls below them go under load."""
+class SpilloverTest(unittest.TestCase):
+    """Target selection for requests and nested calls under load."""
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -103,7 +108,7 @@
             self.table.update_member(None, member)
 
     def load(self, in_flight: dict[str, int], service_ms: float = 50) -> None:
-        """Report calls in flight at some of the servers."""
+        """Report calls in flight of some servers, and 0 of the others."""
         for target in self.table.list_targets('svc'):
             number = in_flight.get(target.member.node_id, 0)
             report = CallReport(
@@ -112,7 +117,7 @@
             target.record_report(report, 0.05, self.now)
 
     def choose(self, *, is_nested: bool = False, size: float = 0) -> str:
-        """Return the node that is chosen, empty for none."""
+        """Return the chosen node, or an empty string for none."""
         demand = RoutingRequest(
             'svc', _NORMAL, is_nested=is_nested, kind='k', size=size
         )
@@ -121,22 +126,22 @@
             choice.target.member.node_id if isinstance(choice, Choice) else ''
         )
 
-    def test_calls_below_stay_near(self) -> None:
-        """A request leaves a full server, a call below it does not."""
+    def test_nested_calls_stay_near(self) -> None:
+        """A request leaves a full server, a nested call one twice as full."""
         self.load({'a1': 10})
         self.assertEqual(self.choose(), 'a2')
         self.assertEqual(self.choose(is_nested=True), 'a1')
         self.load({'a1': 20})
         self.assertEqual(self.choose(is_nested=True), 'a2')
 
-    def test_large_messages_need_more_room_elsewhere(self) -> None:
-        """Bytes between regions cost as load does."""
+    def test_large_messages_need_a_larger_margin(self) -> None:
+        """Bytes sent to another region count as load."""
         self.load({'a1': 12, 'a2': 12})
         self.assertEqual(self.choose(size=1000), 'b1')
         self.assertEqual(self.choose(size=12000), 'a1')
 
-    def test_levels_further_down_choose_the_place(self) -> None:
-        """A place whose deep service sheds is left for another."""
+    def test_downstream_levels_determine_the_data_centre(self) -> None:
+        """A data centre in which a downstream service sheds is avoided."""
         self.table.downstream_levels.record(
             'k', 'a1', {'deep@a1': _NORMAL + 31}, self.now
         )
@@ -152,8 +157,8 @@
         assert isinstance(refused, NoTarget), refused
         self.assertTrue(refused.is_shedding)
 
-    def test_place_in_which_a_kind_fails_is_left(self) -> None:
-        """Not for other kinds, and it is tried again later."""
+    def test_data_centre_in_which_a_kind_fails_is_avoided(self) -> None:
+        """Other kinds still use it, and the kind tries it again later."""
         for _ in range(20):
             self.table.outcomes.record('k', 'a1', has_failed=True, now=self.now)
         self.assertEqual(self.choose(), 'a2')
@@ -165,8 +170,8 @@
         self.now += 12
         self.assertEqual(self.choose(), 'a1')
 
-    def test_failing_and_slow_servers_are_left(self) -> None:
-        """A server that fails half of its calls, one five times as slow."""
+    def test_failing_and_slow_servers_are_avoided(self) -> None:
+        """First all calls of a server fail, then it is ten times as slow."""
         near = self.table.list_targets('svc')[0]
         for _ in range(20):
             near.record_health(has_failed=True, now=self.now)
@@ -180,17 +185,17 @@
         self.assertEqual(self.choose(is_nested=True), 'a2')
 
     def test_servers_of_a_region_that_lose_answers(self) -> None:
-        """Two of five lost: calls cross regions; one of ten: they do not."""
+        """With 40 % lost answers calls cross regions, with 10 % they don't."""
         chosen = self.call_with_losses(0.4)
         self.assertGreater(chosen['b1'], 60)
         chosen = self.call_with_losses(0.1)
         self.assertLess(chosen['b1'], 5)
 
     def call_with_losses(self, lost_share: float) -> Counter[str]:
-        """Make 120 calls in 6 s; the region's servers lose some answers."""
+        """Make 120 calls in 6 s while the region's servers lose answers."""
         self.setUp()
         self.load({'a1': 3, 'a2': 3, 'b1': 3})
-        draw = random.Random(5)
+        rng = random.Random(5)
         targets = {
             target.member.node_id: target
             for target in self.table.list_targets('svc')
@@ -200,12 +205,12 @@
             self.now += 0.05
             name = self.choose(is_nested=True)
             chosen[name] += 1
-            is_lost = name != 'b1' and draw.random() < lost_share
+            is_lost = name != 'b1' and rng.random() < lost_share
             targets[name].record_health(has_failed=is_lost, now=self.now)
         return chosen
 
     def test_message_sizes(self) -> None:
-        """The mean follows, an unknown sort takes nothing."""
+        """The average follows the samples; an unknown class has size 0."""
         sizes = MessageSizes()
         self.assertEqual(sizes.read('k'), 0)
         sizes.record('k', 1000)
@@ -213,11 +218,11 @@
         self.assertAlmostEqual(sizes.read('k'), 1100)
 
 
-class ReturnTest(unittest.TestCase):
-    """Refused callers that come back."""
+class RefusedRequestsTest(unittest.TestCase):
+    """Retries by refused callers."""
 
-    def test_a_request_that_comes_back_is_ahead_once(self) -> None:
-        """Within its class, and only while it is remembered."""
+    def test_retried_request_gets_a_higher_priority_once(self) -> None:
+        """It stays within its class, and the record expires."""
         refused = RefusedRequests()
         refused.record('digest', 1.0)
         self.assertTrue(refused.pop('digest', 2.0))
@@ -227,21 +232,21 @@
         self.assertEqual(raise_priority(_NORMAL + 3), _NORMAL + 19)
         self.assertEqual(raise_priority(_NORMAL + 30), _NORMAL + 31)
 
-    def test_pause_leaves_time_for_an_answer(self) -> None:
-        """A part of the objective, spread; a second or more without one."""
+    def test_retry_time_leaves_time_for_an_answer(self) -> None:
+        """It is a share of the objective, or has jitter without one."""
         for draw in (0.0, 0.5, 1.0):
-            pause_s = compute_retry_after(1.0, 2.0, draw)
-            self.assertGreaterEqual(pause_s, 0.4)
-            self.assertLessEqual(pause_s, 1.0)
+            retry_after_s = compute_retry_after(1.0, 2.0, draw)
+            self.assertGreaterEqual(retry_after_s, 0.4)
+            self.assertLessEqual(retry_after_s, 1.0)
         self.assertEqual(compute_retry_after(1.0, 0.01, 0.5), 0.1)
         self.assertEqual(compute_retry_after(1.0, None, 0.5), 2.0)
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Retries when most calls of a deep service fail."""
+    """Retries to a service of whose calls most fail."""
 
-    def test_part_of_the_budget_is_kept_for_urgent_calls(self) -> None:
-        """Lesser calls below others leave some of it."""
+    def test_urgent_calls_have_a_reserved_share(self) -> None:
+        """Calls that are not urgent cannot use up the budget."""
         budget = RetryBudget(0.2)
         spent = 0
         while budget.spend(0.0, is_urgent=False):
@@ -250,7 +255,7 @@
         self.assertTrue(budget.spend(0.0))
 
     def test_base_is_refilled_by_time(self) -> None:
-        """Without any traffic, a few retries in each window."""
+        """Some retries are permitted without any first attempts."""
         budget = RetryBudget(0.0, base_per_s=0.2)
         granted = sum(budget.spend(step * 0.1) for step in range(1000))
         self.assertLessEqual(granted, 3 + 0.2 * 100 + 1)
--- a/merlintrail/state/tests/test_retry_account.py
+++ b/merlintrail/state/tests/test_retry_account.py
@@ -1,4 +1,4 @@
-"""The bound on retries over a whole call tree."""
+"""Tests of the bounds on retries."""
 
 import random
 import unittest
@@ -10,16 +10,16 @@
 
 
 class _Tree:
-    """Random call trees whose calls fail, get lost and are tried again."""
+    """A random call tree whose calls fail, are lost and are retried."""
 
-    def __init__(self, source: random.Random, bound: int) -> None:
-        self._source = source
+    def __init__(self, rng: random.Random, bound: int) -> None:
+        self._rng = rng
         self.retries = 0
         self.account = RetryAccount(bound)
 
     def call(self, account: RetryAccount, depth: int) -> None:
-        """Make the calls of one level, each until no retry is left."""
-        for _ in range(self._source.randint(0, 3) if depth else 0):
+        """Make the calls of one level and retry them while possible."""
+        for _ in range(self._rng.randint(0, 3) if depth else 0):
             while not self._attempt(account, depth):
                 if not account.spend():
                     break
@@ -29,33 +29,33 @@
         share = account.reserve_share()
         child = RetryAccount(share)
         self.call(child, depth - 1)
-        fate = self._source.choice(('answer', 'failure', 'lost', 'forged'))
-        returned = {'lost': 0, 'forged': 1000}.get(fate, child.balance)
+        outcome = self._rng.choice(('answer', 'failure', 'lost', 'forged'))
+        returned = {'lost': 0, 'forged': 1000}.get(outcome, child.balance)
         account.refund(share, min(returned, child.balance))
-        return fate == 'answer'
+        return outcome == 'answer'
 
 
 class RetryAccountTest(unittest.TestCase):
-    """Whatever is lost, the sum stays within what the request began with."""
+    """The retries of a call tree never exceed the initial balance."""
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(seed=st.integers(0, 2**32), bound=st.integers(0, 8))
     def test_sum_over_tree_is_bounded(self, seed: int, bound: int) -> None:
-        """Random trees, losses and orders."""
+        """Random call trees with failed calls and lost answers."""
         tree = _Tree(random.Random(seed), bound)
         tree.call(tree.account, depth=5)
         self.assertLessEqual(tree.retries, bound)
         self.assertGreaterEqual(tree.account.balance, 0)
 
-    def test_returns_no_more_than_lent(self) -> None:
-        """A peer cannot make retries by claiming that some are left."""
+    def test_refund_never_exceeds_the_share(self) -> None:
+        """A peer that reports too many unspent retries creates none."""
         account = RetryAccount(4)
         share = account.reserve_share()
         self.assertEqual(account.refund(share, 1000), share)
         self.assertEqual(account.balance, 4)
 
     def test_lost_answer_spends_the_share(self) -> None:
-        """What left with a lost call does not come back."""
+        """The share of a lost call is not refunded."""
         account = RetryAccount(1)
         self.assertEqual(account.reserve_share(), 1)
         account.refund(1, 0)
@@ -63,10 +63,10 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """The node's own share."""
+    """The retries of a node are a share of its first attempts."""
 
     def test_retries_stay_a_share_of_attempts(self) -> None:
-        """Ten thousand attempts that all want a retry."""
+        """All of ten thousand first attempts ask for a retry."""
         budget = RetryBudget(0.1)
         granted = 0
         for _ in range(10000):
--- a/merlintrail/state/tests/test_routes.py
+++ b/merlintrail/state/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Longest prefix, splits by weight, and the findings of bad routes."""
+"""Tests of routes: prefix matching, weighted splits and validation."""
 
 import random
 import unittest
@@ -77,40 +77,40 @@
     """Routes of two hosts."""
 
     def test_longest_prefix(self) -> None:
-        """Prefixes end at a slash; hosts know no case and no port."""
+        """Prefixes end at a slash; the host's case and port are ignored."""
         table = build_configuration(_build_document(*_ROUTES), 1, '').routes
         for host, path, name in _LOOKUPS:
             with self.subTest(f'{host}{path}'):
-                found = table.find(host, path)
-                self.assertEqual(found and found.kind.name, name)
+                route = table.find(host, path)
+                self.assertEqual(route and route.kind.name, name)
 
     def test_findings(self) -> None:
-        """Each fault is found, with its place."""
+        """Each fault is reported with a pointer and a message."""
         self.assertEqual(validate_document(_build_document(*_ROUTES)), [])
-        for name, changes, words in _BAD_ROUTES:
+        for name, changes, message in _BAD_ROUTES:
             with self.subTest(name):
                 route = {**_build_route('bad'), **changes}
                 findings = validate_document(_build_document(route))
                 self.assertTrue(findings)
                 self.assertIn('/routes', findings[0].place)
-                self.assertIn(words, findings[0].message)
+                self.assertIn(message, findings[0].message)
 
-    def test_repeated_routes(self) -> None:
-        """Neither a name nor a host and prefix may come twice."""
+    def test_duplicate_routes(self) -> None:
+        """Names, and pairs of host and prefix, have to be unique."""
         document = _build_document(_build_route('a'), _build_route('a'))
         messages = [finding.message for finding in validate_document(document)]
         self.assertEqual(len(messages), 2)
 
 
-class SplitTest(unittest.TestCase):
-    """Weights hold at each node and over many nodes."""
+class RouteSplitterTest(unittest.TestCase):
+    """Distribution of requests by weight."""
 
     @given(
         st.lists(st.integers(1, 100), min_size=2, max_size=5),
         st.integers(0, 1000),
     )
     def test_weights(self, weights: list[int], seed: int) -> None:
-        """Shares are met within one request at any time."""
+        """Shares deviate by no more than one request for each service."""
         split = [
             {'service': name, 'weight': weight}
             for name, weight in zip('abcde', weights, strict=False)
--- a/merlintrail/state/tests/test_routing.py
+++ b/merlintrail/state/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Nearest first, levels, ejection with a floor, slow start, links."""
+"""Tests of target selection, ejection, warm-up and bandwidth limits."""
 
 import random
 import unittest
@@ -42,7 +42,7 @@
 
 
 class RoutingTest(unittest.TestCase):
-    """Choices of one node in data centre a1."""
+    """Target selection at a node in data centre ``a1``."""
 
     def setUp(self) -> None:
         self.now = 100.0
@@ -58,11 +58,11 @@
             self.table.update_member(None, _build_member(node_id, data_centre))
 
     def choose(self, priority: int, *tried: str) -> Choice | NoTarget:
-        """Choose for a call."""
+        """Choose a target for a call of a priority."""
         return self.table.choose(RoutingRequest('svc', priority), tried)
 
     def find(self, node_id: str) -> Target:
-        """Return the target at a node."""
+        """Return the target of a node."""
         return next(
             target
             for target in self.table.list_targets('svc')
@@ -70,23 +70,23 @@
         )
 
     def assert_chosen(self, node_id: str, choice: Choice | NoTarget) -> None:
-        """Check that a node was chosen."""
+        """Assert that a choice is the target of a node."""
         assert isinstance(choice, Choice), choice
         self.assertEqual(choice.target.member.node_id, node_id)
 
-    def test_nearest_first(self) -> None:
-        """Own data centre, region, other region."""
+    def test_nearest_tier_is_chosen(self) -> None:
+        """Own data centre, then its region, then another region."""
         self.assert_chosen('near', self.choose(50))
         self.assert_chosen('region', self.choose(50, 'near'))
         self.assert_chosen('remote', self.choose(50, 'near', 'region'))
 
-    def test_spills_into_the_region_when_loaded(self) -> None:
-        """A full server in the own data centre is passed over."""
+    def test_loaded_data_centre_spills_into_the_region(self) -> None:
+        """A full server in the own data centre is not chosen."""
         self.find('near').record_report(_build_report(0, 20), 0.01, self.now)
         self.assert_chosen('region', self.choose(50))
 
     def test_shedding_servers_are_avoided_by_priority(self) -> None:
-        """The level counts for lesser calls only, and falls back."""
+        """The level applies to lower priorities only and decays."""
         for node_id in ('near', 'region', 'remote'):
             self.find(node_id).record_report(_build_report(60), 0.01, self.now)
         refused = self.choose(50)
@@ -97,30 +97,30 @@
         self.now += 2
         self.assert_chosen('near', self.choose(0))
 
-    def test_ejection_keeps_a_floor(self) -> None:
-        """Never more than half of the servers are out."""
-        ejected = 0.0
+    def test_share_of_ejected_servers_is_limited(self) -> None:
+        """At most half of the servers are ejected at a time."""
+        ejections = 0.0
         for node_id in ('near', 'region', 'remote'):
             for _ in range(3):
-                pause_s = self.table.record_failure(self.find(node_id))
-                ejected += 1 if pause_s else 0
-        self.assertEqual(ejected, 1)
+                duration_s = self.table.record_failure(self.find(node_id))
+                ejections += 1 if duration_s else 0
+        self.assertEqual(ejections, 1)
         self.assert_chosen('region', self.choose(50))
         self.now += 1.1
         self.assert_chosen('near', self.choose(50))
 
     def test_cold_server_gets_a_small_share(self) -> None:
-        """A new incarnation starts slowly once the table is settled."""
+        """A new incarnation is warmed up once the initial members are set."""
         self.table.has_initial_members = True
-        colder = _build_member('near', 'a1', 2)._replace(incarnation=2)
-        self.table.update_member(None, colder)
+        restarted = _build_member('near', 'a1', 2)._replace(incarnation=2)
+        self.table.update_member(None, restarted)
         cold_load = self.find('near').compute_load(self.now, 10.0)
         self.now += 10
         warm_load = self.find('near').compute_load(self.now, 10.0)
         self.assertAlmostEqual(cold_load, warm_load * 10)
 
     def test_draining_server_is_not_chosen(self) -> None:
-        """Neither by its report nor by its membership."""
+        """A call report or the membership can show that it is draining."""
         draining = _build_report()._replace(is_draining=True)
         self.find('near').record_report(draining, 0.01, self.now)
         self.assert_chosen('region', self.choose(50))
@@ -130,8 +130,8 @@
         )
         self.assert_chosen('remote', self.choose(50))
 
-    def test_link_allowance_closes_the_way(self) -> None:
-        """No call crosses once the bytes are used up."""
+    def test_exhausted_link_allowance_refuses_calls(self) -> None:
+        """No call goes to another region until the bucket is refilled."""
         self.table.links.update({_PAIR: 1000.0}, nodes=1)
         self.assert_chosen('remote', self.choose(50, 'near', 'region'))
         self.table.links.spend(_PAIR, self.now, 5000)
@@ -143,8 +143,8 @@
         assert isinstance(choice, Choice)
         self.assertEqual(choice.tier, Tier.REMOTE)
 
-    def test_link_share_is_divided_among_nodes(self) -> None:
-        """Twice the nodes, half the bytes each."""
+    def test_link_rate_is_divided_among_nodes(self) -> None:
+        """Each of ten nodes may send a tenth of the rate."""
         links = LinkAllowance()
         links.update({_PAIR: 1000.0}, nodes=10)
         links.spend(_PAIR, 0.0, 150)
--- a/merlintrail/state/tests/test_validation.py
+++ b/merlintrail/state/tests/test_validation.py
@@ -1,4 +1,4 @@
-"""Findings of a document come together, each with its place."""
+"""Tests of the validation and comparison of configuration documents."""
 
 import copy
 import json
@@ -20,7 +20,7 @@
 
 
 def load_example() -> dict[str, Any]:
-    """Load a complete document."""
+    """Load a complete example document."""
     text = (_EXAMPLES / 'bedenrehber.json').read_text(encoding='utf-8')
     document: dict[str, Any] = json.loads(text)
     return document
@@ -29,10 +29,10 @@
 def _set(path: str, entry: object) -> Callable[[dict[str, Any]], None]:
     def change(document: dict[str, Any]) -> None:
         *parents, last = path.strip('/').split('/')
-        place: Any = document
+        parent: Any = document
         for part in parents:
-            place = place[int(part)] if part.isdigit() else place[part]
-        place[int(last) if last.isdigit() else last] = entry
+            parent = parent[int(part)] if part.isdigit() else parent[part]
+        parent[int(last) if last.isdigit() else last] = entry
 
     return change
 
@@ -64,10 +64,10 @@
 
 
 class ValidationTest(unittest.TestCase):
-    """Tables of faults."""
+    """Valid documents and documents with faults."""
 
     def test_examples_are_valid(self) -> None:
-        """Every example document has no finding and builds."""
+        """Each has no findings, and a configuration can be built from it."""
         paths = list(_EXAMPLES.glob('*.json'))
         self.assertGreaterEqual(len(paths), 2)
         for path in paths:
@@ -76,67 +76,69 @@
                 self.assertEqual(parsed.findings, ())
                 build_configuration(parsed.document, 1, 'change')
 
-    def test_each_fault_is_found_at_its_place(self) -> None:
-        """One fault, at least one finding, at or below the place."""
-        for place, entry in _FAULTS:
-            with self.subTest(place, entry=entry):
+    def test_findings_point_to_the_fault(self) -> None:
+        """Each fault yields a finding under the parent of the value."""
+        for pointer, entry in _FAULTS:
+            with self.subTest(pointer, entry=entry):
                 document = load_example()
-                _set(place, entry)(document)
+                _set(pointer, entry)(document)
                 findings = validate_document(document)
                 self.assertTrue(findings)
-                parent = place.rpartition('/')[0]
+                parent = pointer.rpartition('/')[0]
                 self.assertTrue(
-                    any(found.place.startswith(parent) for found in findings)
+                    any(
+                        finding.place.startswith(parent) for finding in findings
+                    )
                 )
 
-    def test_findings_come_together(self) -> None:
-        """Two faults, two findings."""
+    def test_all_faults_are_reported(self) -> None:
+        """Two faults yield two findings."""
         document = load_example()
         _set('/services/0/kinds/0/deadline_ms', -1)(document)
         _set('/services/1/kinds/0/importance', 'none')(document)
         self.assertEqual(len(validate_document(document)), 2)
 
-    def test_text_that_is_no_document(self) -> None:
-        """No JSON, no object, a name twice."""
+    def test_malformed_text(self) -> None:
+        """Invalid JSON, other JSON types and duplicate names are faults."""
         for text in ('', '[', '[]', '7', '{"format": 1, "format": 1}'):
             with self.subTest(text):
                 self.assertTrue(parse_document(text).findings)
 
-    def test_repeated_names(self) -> None:
-        """Services, kinds and data centres are unique."""
+    def test_duplicate_names(self) -> None:
+        """A service that occurs twice yields a finding."""
         document = load_example()
         document['services'].append(copy.deepcopy(document['services'][0]))
         document['regions'].append(copy.deepcopy(document['regions'][0]))
-        places = {found.place for found in validate_document(document)}
-        self.assertIn(f'/services/{len(document["services"]) - 1}', places)
+        pointers = {finding.place for finding in validate_document(document)}
+        self.assertIn(f'/services/{len(document["services"]) - 1}', pointers)
 
-    def test_differences_name_their_place(self) -> None:
-        """A changed deadline stands under its service and kind."""
+    def test_differences_have_a_pointer(self) -> None:
+        """The pointer to a deadline contains the service and kind names."""
         changed = load_example()
         name = changed['services'][0]['name']
         kind = changed['services'][0]['kinds'][0]['name']
         changed['services'][0]['kinds'][0]['deadline_ms'] = 12345
-        found = list(find_differences(load_example(), changed))
-        self.assertEqual(len(found), 1)
+        differences = list(find_differences(load_example(), changed))
+        self.assertEqual(len(differences), 1)
         self.assertEqual(
-            found[0].place, f'/services/{name}/kinds/{kind}/deadline_ms'
+            differences[0].place, f'/services/{name}/kinds/{kind}/deadline_ms'
         )
 
 
 class ConfigurationHolderTest(unittest.TestCase):
-    """A generation never goes back."""
+    """Documents that replace the current one."""
 
-    def test_lower_generation_is_never_accepted(self) -> None:
-        """Whoever offers it, and equal ones neither."""
+    def test_only_higher_generations_are_applied(self) -> None:
+        """A document with a lower or equal generation is ignored."""
         holder = ConfigurationHolder()
         document = load_example()
-        for generation, accepted in ((3, True), (2, False), (3, False)):
+        for generation, is_applied in ((3, True), (2, False), (3, False)):
             envelope = Envelope(generation, 'x', 'op', 0.0, document)
-            self.assertEqual(holder.apply_if_newer(envelope), accepted)
+            self.assertEqual(holder.apply_if_newer(envelope), is_applied)
         self.assertEqual(holder.generation, 3)
 
-    def test_invalid_document_is_not_put_in_force(self) -> None:
-        """What the store holds is checked like any other text."""
+    def test_invalid_document_is_not_applied(self) -> None:
+        """Even a document from the store is validated."""
         holder = ConfigurationHolder()
         self.assertFalse(holder.apply_if_newer(Envelope(9, 'x', 'op', 0.0, {})))
         self.assertIsNone(holder.current)
