--- a/merlintrail/state/_admission.py
+++ b/merlintrail/state/_admission.py
@@ -106,8 +106,8 @@
     ) -> None:
         self.limit = limit
         self.shedder = shedder
-        #: Longest wait in seconds of a call that is neither nested nor
-        #: critical and states no objective.
+        #: Configured limit in seconds on the wait of a call that is neither
+        #: nested nor critical and states no objective.
         self.queue_limit_s = queue_limit_s
         #: Number of calls that hold a slot.
         self.running = 0
@@ -128,8 +128,8 @@
     async def admit(self, request: AdmissionRequest) -> Refusal | None:
         """Wait for a slot.
 
-        :returns: ``None`` if the call got a slot, which the caller must
-            release, or a refusal.
+        :returns: ``None`` if the call got a slot, which has to be released
+            after it, or a refusal.
         """
         now = self._clock()
         self.shedder.record_arrival(now, request.priority)
--- a/merlintrail/state/_call_table.py
+++ b/merlintrail/state/_call_table.py
@@ -30,9 +30,9 @@
 class CallTable:
     """Ensures that a call runs once and answers inquiries about it.
 
-    A caller that lost the answer to a call inquires about it. If the call is
+    A node that lost the answer to a call inquires about it. If the call is
     unknown, it is marked with a tombstone, which keeps it from running when
-    it arrives late, so that the caller can safely send it again.
+    it arrives late, so that the other node can safely send it again.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
--- a/merlintrail/state/_downstream_levels.py
+++ b/merlintrail/state/_downstream_levels.py
@@ -82,7 +82,7 @@
     """Decides which shedding levels an answer reports.
 
     Levels of 0 are left out, except shortly after a service has shed, so
-    that its callers learn of the end of the shedding.
+    that calling nodes learn of the end of the shedding.
     """
 
     def __init__(self) -> None:
--- a/merlintrail/state/_ledger_index.py
+++ b/merlintrail/state/_ledger_index.py
@@ -14,7 +14,7 @@
     RUNNING = 'running'
     #: The request ran or may have run.
     EXECUTED = 'executed'
-    #: The request did certainly not run and may be tried again.
+    #: The request provably did not run and may be tried again.
     RELEASED = 'released'
 
 
--- a/merlintrail/state/_routing.py
+++ b/merlintrail/state/_routing.py
@@ -66,7 +66,8 @@
         #: Bandwidth limits between regions.
         self.links = LinkAllowance()
         #: Whether the initial list of members is complete. From then on a
-        #: backend server that appears has just started and is warmed up.
+        #: backend server that appears is taken to have just started, and is
+        #: warmed up.
         self.has_initial_members = False
 
     def update_regions(self, regions: Mapping[str, str]) -> None:
@@ -190,7 +191,7 @@
     def _accepts(
         self, target: Target, request: RoutingRequest, now: float
     ) -> bool:
-        """Return whether a call is shed neither at nor behind a target.
+        """Return whether a target and its downstream services accept a call.
 
         Nested calls are never shed.
         """
@@ -202,7 +203,7 @@
     def _read_level(
         self, target: Target, request: RoutingRequest, now: float
     ) -> int:
-        """Return the highest shedding level at or behind a target."""
+        """Return the highest level of a target and its downstream services."""
         downstream = self.downstream_levels.read(
             request.kind, target.member.data_centre, now
         )
--- a/merlintrail/state/tests/test_load_decisions.py
+++ b/merlintrail/state/tests/test_load_decisions.py
@@ -66,7 +66,7 @@
         self.assertEqual(self.shedder.read_level(self.now), first_level)
 
     def test_level_falls_slowly_while_slots_are_in_use(self) -> None:
-        """A fast fall would overload a service that is just full again."""
+        """A fast fall would overload again a service that is just full."""
         self.drive(self.shedder, 9, 1.5)
         peak = self.shedder.read_level(self.now)
         self.drive(self.shedder, 0, 1.0)
