--- a/merlintrail/node/_gate.py
+++ b/merlintrail/node/_gate.py
@@ -1,4 +1,4 @@
-"""Admission control of one backend server."""
+"""AdmissionController control of one backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,8 +8,8 @@
 from merlintrail.protocol import Outcome, Reason, Refusal
 from merlintrail.state import (
     AdaptiveLimit,
-    Admission,
-    ShedController,
+    AdmissionController,
+    SheddingController,
     create_limit,
 )
 
@@ -24,8 +24,8 @@
         now = clock()
         self.backend = BackendServer(announcement, now)
         self.limit: AdaptiveLimit = create_limit(announcement.slots, now)
-        self.shedder = ShedController(now)
-        self.admission = Admission(
+        self.shedder = SheddingController(now)
+        self.admission = AdmissionController(
             self.limit, self.shedder, clock, _DEFAULT_QUEUE_LIMIT_S
         )
         #: Ensures that at most one request under suspicion of crashing
--- a/merlintrail/node/_gatekeeper.py
+++ b/merlintrail/node/_gatekeeper.py
@@ -24,11 +24,11 @@
     Refusal,
 )
 from merlintrail.state import (
+    AdmissionRequest,
     CallTable,
-    Claim,
     Configuration,
     PlannedStop,
-    outlasts_start,
+    overlaps_planned_stop,
 )
 from merlintrail.transport import HttpResponse
 
@@ -179,7 +179,7 @@
         refusal = gate.check_ready(self._clock())
         if refusal is not None:
             return refusal
-        if outlasts_start(
+        if overlaps_planned_stop(
             self.planned_stop, self._parts.wall_clock(), remaining_s
         ):
             return Refusal(Outcome.NOT_RUN, Reason.PLANNED_STOP)
@@ -218,7 +218,7 @@
             reason,
             parent.account.balance,
             0 if gate is None else gate.shedder.read_level(self._clock()),
-            parent.path_levels,
+            parent.downstream_levels,
             0 if gate is None else self.running,
             0
             if gate is None
@@ -267,12 +267,12 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _build_claim(parent: ParentCall) -> Claim:
+def _build_claim(parent: ParentCall) -> AdmissionRequest:
     header = parent.header
     objective_s: float | None = None
     if header.objective_ms is not None:
         objective_s = header.objective_ms / _MS_PER_S
-    return Claim(
+    return AdmissionRequest(
         header.priority,
         parent.deadline,
         header.depth > 1,
--- a/merlintrail/node/_lifecycle.py
+++ b/merlintrail/node/_lifecycle.py
@@ -12,7 +12,7 @@
     ConfigurationHolder,
     MemberStatus,
     PlannedStop,
-    find_stop,
+    find_planned_stop,
 )
 
 #: Seconds between checks for planned stops and for running calls.
@@ -97,7 +97,7 @@
         if configuration is None:
             return
         now = self._deps.wall_clock()
-        stop = find_stop(
+        stop = find_planned_stop(
             configuration,
             self._deps.instance,
             self._deps.data_centre,
--- a/merlintrail/node/_peer_service.py
+++ b/merlintrail/node/_peer_service.py
@@ -180,7 +180,7 @@
             return inquiry
         if inquiry.incarnation != self._deps.incarnation:
             return InquiryAnswer(InquiryState.OTHER_INCARNATION.value)
-        record = self._deps.calls.inquire(inquiry.call_id)
+        record = self._deps.calls.find_or_tombstone(inquiry.call_id)
         if record.answer is None:
             return InquiryAnswer(record.state.value)
         return InquiryAnswer(
--- a/merlintrail/node/_suspect_quarantine.py
+++ b/merlintrail/node/_suspect_quarantine.py
@@ -54,7 +54,9 @@
 
     def clear_suspect(self, suspicion: Suspicion) -> None:
         """Clear a suspect request that completed without a crash."""
-        cleared = self._quarantine.acquit(suspicion.digest, self._wall_clock())
+        cleared = self._quarantine.clear_suspect(
+            suspicion.digest, self._wall_clock()
+        )
         if cleared is not None:
             self._notify([cleared])
 
--- a/merlintrail/protocol/_call.py
+++ b/merlintrail/protocol/_call.py
@@ -56,7 +56,7 @@
     #: refused.
     level: int
     #: Shedding levels that nested calls met, by ``service@data_centre``.
-    path_levels: Mapping[str, int]
+    downstream_levels: Mapping[str, int]
     #: Calls running or queued at the backend servers of the node.
     in_flight: int
     #: Mean service time in milliseconds.
--- a/merlintrail/state/__init__.py
+++ b/merlintrail/state/__init__.py
@@ -1,14 +1,7 @@
-"""What a node knows, and the decisions that it takes on it."""
+"""Node-local state, and admission, shedding, routing and retry decisions."""
 
-from merlintrail.state._admission import Admission, Claim
+from merlintrail.state._admission import AdmissionController, AdmissionRequest
 from merlintrail.state._call_table import CallRecord, CallTable
-from merlintrail.state._demand import (
-    Choice,
-    Demand,
-    NoTarget,
-    Place,
-    Tier,
-)
 from merlintrail.state._difference import Difference, find_differences
 from merlintrail.state._document import (
     CallerLimits,
@@ -19,6 +12,12 @@
     Service,
     build_configuration,
 )
+from merlintrail.state._downstream_levels import (
+    DownstreamLevels,
+    LevelReportFilter,
+    build_level_key,
+    merge_levels,
+)
 from merlintrail.state._holder import ConfigurationHolder, Envelope
 from merlintrail.state._kinds import RequestKind
 from merlintrail.state._ledger_index import KeyRecord, KeyState, LedgerIndex
@@ -37,28 +36,22 @@
     read_member,
 )
 from merlintrail.state._message_sizes import MessageSizes
-from merlintrail.state._path_levels import (
-    PathLevels,
-    SheddingMemory,
-    merge_levels,
-    name_place,
-)
 from merlintrail.state._quarantine import (
     Quarantine,
     Suspicion,
     compute_digest,
     read_suspicion,
 )
+from merlintrail.state._refused_requests import (
+    RefusedRequests,
+    compute_retry_after,
+    raise_priority,
+)
 from merlintrail.state._retry_account import (
     RetryAccount,
     RetryBudget,
     RetryBudgets,
 )
-from merlintrail.state._returns import (
-    RefusedRequests,
-    compute_pause,
-    raise_priority,
-)
 from merlintrail.state._routes import (
     Route,
     RouteSplitter,
@@ -66,8 +59,19 @@
     ServiceShare,
 )
 from merlintrail.state._routing import RoutingTable
-from merlintrail.state._shedding import LevelTable, ShedController, is_shed
-from merlintrail.state._stops import find_stop, outlasts_start
+from merlintrail.state._routing_request import (
+    Choice,
+    NodeLocation,
+    NoTarget,
+    RoutingRequest,
+    Tier,
+)
+from merlintrail.state._shedding import (
+    SheddingController,
+    SheddingLevelTable,
+    is_shed,
+)
+from merlintrail.state._stops import find_planned_stop, overlaps_planned_stop
 from merlintrail.state._targets import Target
 from merlintrail.state._validation import (
     Finding,
@@ -81,17 +85,17 @@
 
 __all__ = (
     'AdaptiveLimit',
-    'Admission',
+    'AdmissionController',
+    'AdmissionRequest',
     'CallRecord',
     'CallTable',
     'CallerLimits',
     'Choice',
-    'Claim',
     'ConcurrencyLimit',
     'Configuration',
     'ConfigurationHolder',
-    'Demand',
     'Difference',
+    'DownstreamLevels',
     'Envelope',
     'Finding',
     'FixedLimit',
@@ -99,16 +103,15 @@
     'KeyState',
     'LedgerIndex',
     'LedgerSettings',
-    'LevelTable',
+    'LevelReportFilter',
     'LinkAllowance',
     'Member',
     'MemberStatus',
     'MemberTable',
     'MessageSizes',
     'NoTarget',
+    'NodeLocation',
     'ParsedDocument',
-    'PathLevels',
-    'Place',
     'PlannedStop',
     'Quarantine',
     'RefusedRequests',
@@ -120,27 +123,28 @@
     'Route',
     'RouteSplitter',
     'RouteTable',
+    'RoutingRequest',
     'RoutingTable',
     'Service',
     'ServiceOffer',
     'ServiceShare',
-    'ShedController',
-    'SheddingMemory',
+    'SheddingController',
+    'SheddingLevelTable',
     'Suspicion',
     'Target',
     'Tier',
     'build_configuration',
+    'build_level_key',
     'compute_digest',
-    'compute_pause',
+    'compute_retry_after',
     'create_limit',
     'find_differences',
+    'find_planned_stop',
     'find_schema_faults',
-    'find_stop',
     'is_shed',
     'load_schema',
     'merge_levels',
-    'name_place',
-    'outlasts_start',
+    'overlaps_planned_stop',
     'parse_document',
     'parse_json_object',
     'raise_priority',
