--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -15,7 +15,7 @@
 from merlintrail.node._dispatch import Dispatcher, DispatchParts
 from merlintrail.node._environment import Environment
 from merlintrail.node._exchange import PeerExchange
-from merlintrail.node._gatekeeper import Gatekeeper, GateParts
+from merlintrail.node._backend_gateway import Gatekeeper, GateParts
 from merlintrail.node._ingress import Ingress, IngressParts
 from merlintrail.node._keyed import KeyedCalls, KeyedParts
 from merlintrail.node._settings import Settings
--- a/merlintrail/node/_gauges.py
+++ b/merlintrail/node/_gauges.py
@@ -4,7 +4,7 @@
 from typing import Final, NamedTuple
 
 from merlintrail.node._gate import Gate
-from merlintrail.node._gatekeeper import Gatekeeper
+from merlintrail.node._backend_gateway import Gatekeeper
 from merlintrail.observability import GaugePoint, NodeMetrics
 from merlintrail.state import ConfigurationHolder, MemberTable
 
--- a/merlintrail/node/_lifecycle.py
+++ b/merlintrail/node/_lifecycle.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from merlintrail.coordination import Heartbeats, Membership
-from merlintrail.node._gatekeeper import Gatekeeper
+from merlintrail.node._backend_gateway import Gatekeeper
 from merlintrail.node._ingress import Ingress
 from merlintrail.observability import log_decision
 from merlintrail.state import (
--- a/merlintrail/node/_local_service.py
+++ b/merlintrail/node/_local_service.py
@@ -9,7 +9,7 @@
     is_local_sender,
     read_announcement,
 )
-from merlintrail.node._gatekeeper import Gatekeeper
+from merlintrail.node._backend_gateway import Gatekeeper
 from merlintrail.observability import log_decision
 from merlintrail.protocol import decode_json, encode_json
 from merlintrail.transport import HttpRequest, HttpResponse, RequestHandler
--- a/merlintrail/node/_peer_service.py
+++ b/merlintrail/node/_peer_service.py
@@ -12,7 +12,7 @@
     build_peer_answer,
     list_forwarded,
 )
-from merlintrail.node._gatekeeper import Gatekeeper
+from merlintrail.node._backend_gateway import Gatekeeper
 from merlintrail.node._keyed import KeyedCalls
 from merlintrail.observability import log_decision
 from merlintrail.protocol import (
--- a/merlintrail/node/_status.py
+++ b/merlintrail/node/_status.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, Final
 
-from merlintrail.node._gatekeeper import Gatekeeper
+from merlintrail.node._backend_gateway import Gatekeeper
 from merlintrail.protocol import Importance
 from merlintrail.state import Configuration, Member, MemberStatus
 
