--- a/merlintrail/node/_answers.py
+++ b/merlintrail/node/_answers.py
@@ -1,6 +1,6 @@
 """Answers of other nodes, read and combined."""
 
-from merlintrail.node._calls import GateResult
+from merlintrail.node._calls import GatewayResult
 from merlintrail.protocol import (
     REPORT_HEADER,
     CallHeader,
@@ -35,11 +35,11 @@
 
 def read_peer_answer(
     header: CallHeader, answer: HttpResponse | Refusal
-) -> GateResult:
+) -> GatewayResult:
     """Read what a peer answered, with the report that came along."""
     if isinstance(answer, Refusal):
         returned = header.retries if answer.outcome == Outcome.NOT_RUN else 0
-        return GateResult(answer, _build_silence(answer, returned))
+        return GatewayResult(answer, _build_silence(answer, returned))
     encoded = answer.find_header(REPORT_HEADER)
     report = (
         DecodeFailure('no report')
@@ -50,16 +50,16 @@
         refusal = Refusal(
             Outcome.MAY_HAVE_RUN, Reason.PEER_LOST, 'answer to another call'
         )
-        return GateResult(refusal, _build_silence(refusal, 0))
+        return GatewayResult(refusal, _build_silence(refusal, 0))
     if report.reason:
         refusal = Refusal(
             Outcome(report.outcome),
             Reason(report.reason),
             retry_after_s=float(answer.find_header('retry-after') or 1),
         )
-        return GateResult(refusal, report)
+        return GatewayResult(refusal, report)
     stripped = HttpResponse(answer.status, list_returned(answer), answer.body)
-    return GateResult(stripped, report)
+    return GatewayResult(stripped, report)
 
 
 def _build_silence(refusal: Refusal, returned: int) -> CallReport:
--- a/merlintrail/node/_backend_exchange.py
+++ b/merlintrail/node/_backend_exchange.py
@@ -28,7 +28,7 @@
 )
 
 
-class ExchangeParts(NamedTuple):
+class BackendExchangeDependencies(NamedTuple):
     """What exchanges with backend servers need."""
 
     node_id: str
@@ -43,7 +43,7 @@
 class BackendExchange:
     """Exchanges calls with the backend servers beside this node."""
 
-    def __init__(self, parts: ExchangeParts) -> None:
+    def __init__(self, parts: BackendExchangeDependencies) -> None:
         self._parts = parts
         self._clock = parts.clock
         self._tasks: set[asyncio.Task[Any]] = set()
--- a/merlintrail/node/_backend_gateway.py
+++ b/merlintrail/node/_backend_gateway.py
@@ -7,7 +7,7 @@
 from merlintrail.node._backend_exchange import BackendExchange
 from merlintrail.node._backend_registry import BackendRegistry
 from merlintrail.node._calls import (
-    GateResult,
+    GatewayResult,
     OutgoingCall,
     build_peer_answer,
 )
@@ -38,7 +38,7 @@
 )
 
 
-class GateParts(NamedTuple):
+class GatewayDependencies(NamedTuple):
     """What a gatekeeper is made with."""
 
     node_id: str
@@ -54,10 +54,10 @@
     registry: BackendRegistry
 
 
-class Gatekeeper:
+class BackendGateway:
     """Runs calls in the backend servers beside this node."""
 
-    def __init__(self, parts: GateParts) -> None:
+    def __init__(self, parts: GatewayDependencies) -> None:
         self._parts = parts
         self._clock = parts.clock
         self._tasks: set[asyncio.Task[Any]] = set()
@@ -89,7 +89,7 @@
 
     async def handle_call(
         self, header: CallHeader, call: OutgoingCall
-    ) -> GateResult:
+    ) -> GatewayResult:
         """Run a call, once, and keep its answer for inquiries."""
         state = self._parts.calls.begin(header.call_id)
         if state is not None:
@@ -109,12 +109,12 @@
             report = report._replace(
                 suspicion=self._parts.suspicions.find(call)
             )
-        gate_result = GateResult(answer, report)
-        encoded = build_peer_answer(gate_result, header.request_id)
+        gateway_result = GatewayResult(answer, report)
+        encoded = build_peer_answer(gateway_result, header.request_id)
         self._parts.calls.finish(header.call_id, encoded)
-        gate_result = gate_result._replace(encoded=encoded)
-        self._record(header, gate_result)
-        return gate_result
+        gateway_result = gateway_result._replace(encoded=encoded)
+        self._record(header, gateway_result)
+        return gateway_result
 
     async def _run(
         self, header: CallHeader, call: OutgoingCall, parent: ParentCall
@@ -185,7 +185,7 @@
 
     def _refuse_repeated(
         self, header: CallHeader, state: InquiryState
-    ) -> GateResult:
+    ) -> GatewayResult:
         """Refuse a call that was seen already, or that came too late."""
         if state in _STARTED_STATES:
             refusal = Refusal(Outcome.MAY_HAVE_RUN, Reason.DUPLICATE_CALL)
@@ -193,9 +193,9 @@
             refusal = Refusal(Outcome.NOT_RUN, Reason.TOMBSTONE)
         parent = ParentCall('', header, 0.0)
         report = self._build_report(header, parent, refusal)
-        gate_result = GateResult(refusal, report)
-        self._record(header, gate_result)
-        return gate_result
+        gateway_result = GatewayResult(refusal, report)
+        self._record(header, gateway_result)
+        return gateway_result
 
     def _build_report(
         self,
@@ -227,9 +227,11 @@
             calls_below=parent.calls_below,
         )
 
-    def _record(self, header: CallHeader, gate_result: GateResult) -> None:
-        report = gate_result.report
-        answer = gate_result.answer
+    def _record(
+        self, header: CallHeader, gateway_result: GatewayResult
+    ) -> None:
+        report = gateway_result.report
+        answer = gateway_result.answer
         detail = answer.detail if isinstance(answer, Refusal) else ''
         self._parts.metrics.record_call(
             header.service, report.outcome, report.reason
--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -9,15 +9,21 @@
     SlotParts,
     create_ledger,
 )
-from merlintrail.node._backend_exchange import BackendExchange, ExchangeParts
+from merlintrail.node._backend_exchange import (
+    BackendExchange,
+    BackendExchangeDependencies,
+)
+from merlintrail.node._backend_gateway import (
+    BackendGateway,
+    GatewayDependencies,
+)
 from merlintrail.node._backend_registry import BackendRegistry
 from merlintrail.node._contexts import ContextTable
-from merlintrail.node._dispatch import Dispatcher, DispatchParts
+from merlintrail.node._dispatch import Dispatcher, DispatcherDependencies
 from merlintrail.node._environment import Environment
 from merlintrail.node._exchange import PeerExchange
-from merlintrail.node._backend_gateway import Gatekeeper, GateParts
-from merlintrail.node._ingress import Ingress, IngressParts
-from merlintrail.node._keyed import KeyedCalls, KeyedParts
+from merlintrail.node._ingress import Ingress, IngressDependencies
+from merlintrail.node._keyed import KeyedCalls, KeyedCallsDependencies
 from merlintrail.node._settings import Settings
 from merlintrail.node._suspicions import Suspicions
 from merlintrail.observability import NodeMetrics
@@ -33,7 +39,7 @@
 from merlintrail.transport import ConnectionPool
 
 
-class PathParts(NamedTuple):
+class CallPathDependencies(NamedTuple):
     """What a call path is made with."""
 
     settings: Settings
@@ -60,7 +66,7 @@
     keyed: KeyedCalls
     dispatcher: Dispatcher
     routing: RoutingTable
-    gatekeeper: Gatekeeper
+    gateway: BackendGateway
     #: Calls that run in the own backend server, and those that it makes.
     contexts: ContextTable
     #: Calls that other nodes sent, for their inquiries.
@@ -68,7 +74,7 @@
     suspicions: Suspicions
 
 
-def create_call_path(parts: PathParts) -> CallPath:
+def create_call_path(parts: CallPathDependencies) -> CallPath:
     """Create the parts from the backend server outwards."""
     environment = parts.environment
     settings = parts.settings
@@ -80,7 +86,7 @@
     )
     contexts = ContextTable(environment.dialect, environment.source)
     calls = CallTable(environment.clock)
-    gatekeeper = _create_gatekeeper(parts, suspicions, contexts, calls)
+    gateway = _create_gateway(parts, suspicions, contexts, calls)
     exchange = PeerExchange(
         parts.pool, parts.peers, settings.fleet_key, environment.clock
     )
@@ -90,12 +96,12 @@
         environment.source,
     )
     dispatcher = Dispatcher(
-        DispatchParts(
+        DispatcherDependencies(
             settings.instance,
             parts.holder,
             routing,
             exchange,
-            gatekeeper,
+            gateway,
             parts.metrics,
             suspicions,
             environment.clock,
@@ -104,7 +110,7 @@
     )
     keyed = _create_keyed(parts, dispatcher, exchange)
     ingress = Ingress(
-        IngressParts(
+        IngressDependencies(
             settings.instance,
             settings.data_centre,
             parts.holder,
@@ -125,23 +131,23 @@
         keyed,
         dispatcher,
         routing,
-        gatekeeper,
+        gateway,
         contexts,
         calls,
         suspicions,
     )
 
 
-def _create_gatekeeper(
-    parts: PathParts,
+def _create_gateway(
+    parts: CallPathDependencies,
     suspicions: Suspicions,
     contexts: ContextTable,
     calls: CallTable,
-) -> Gatekeeper:
+) -> BackendGateway:
     environment = parts.environment
     instance = parts.settings.instance
     exchange = BackendExchange(
-        ExchangeParts(
+        BackendExchangeDependencies(
             instance,
             parts.pool,
             environment.dialect,
@@ -150,8 +156,8 @@
             parts.on_change,
         )
     )
-    return Gatekeeper(
-        GateParts(
+    return BackendGateway(
+        GatewayDependencies(
             instance,
             parts.incarnation,
             exchange,
@@ -169,12 +175,12 @@
 
 
 def _create_keyed(
-    parts: PathParts, dispatcher: Dispatcher, exchange: PeerExchange
+    parts: CallPathDependencies, dispatcher: Dispatcher, exchange: PeerExchange
 ) -> KeyedCalls:
     environment = parts.environment
     instance = parts.settings.instance
     keyed = KeyedCalls(
-        KeyedParts(
+        KeyedCallsDependencies(
             instance,
             parts.holder,
             parts.table,
--- a/merlintrail/node/_calls.py
+++ b/merlintrail/node/_calls.py
@@ -66,7 +66,7 @@
     calls: int = 1
 
 
-class GateResult(NamedTuple):
+class GatewayResult(NamedTuple):
     """What came of a call at the backend server's node."""
 
     answer: HttpResponse | Refusal
@@ -84,17 +84,19 @@
     ]
 
 
-def build_peer_answer(gate_result: GateResult, request_id: str) -> HttpResponse:
+def build_peer_answer(
+    gateway_result: GatewayResult, request_id: str
+) -> HttpResponse:
     """Build the answer between nodes, with its report."""
-    if gate_result.encoded is not None:
-        return gate_result.encoded
-    answer = gate_result.answer
+    if gateway_result.encoded is not None:
+        return gateway_result.encoded
+    answer = gateway_result.answer
     if isinstance(answer, Refusal):
         answer = build_refusal_response(answer, request_id)
         headers = list(answer.headers)
     else:
         headers = list_returned(answer)
-    headers.append((REPORT_HEADER, encode_fields(gate_result.report)))
+    headers.append((REPORT_HEADER, encode_fields(gateway_result.report)))
     return HttpResponse(answer.status, headers, answer.body)
 
 
--- a/merlintrail/node/_dispatch.py
+++ b/merlintrail/node/_dispatch.py
@@ -7,7 +7,7 @@
 from merlintrail.node._answers import read_peer_answer
 from merlintrail.node._calls import (
     CallResult,
-    GateResult,
+    GatewayResult,
     OutgoingCall,
 )
 from merlintrail.node._exchange import PeerExchange
@@ -83,16 +83,16 @@
     )
 
 
-class LocalGate(Protocol):
+class LocalGateway(Protocol):
     """The way to the backend servers beside this node."""
 
     async def handle_call(
         self, header: CallHeader, call: OutgoingCall
-    ) -> GateResult:
+    ) -> GatewayResult:
         """Run a call in a backend server of this node."""
 
 
-class DispatchParts(NamedTuple):
+class DispatcherDependencies(NamedTuple):
     """What a dispatcher is made with."""
 
     #: Identifier of this node.
@@ -100,7 +100,7 @@
     holder: ConfigurationHolder
     routing: RoutingTable
     exchange: PeerExchange
-    gate: LocalGate
+    gate: LocalGateway
     metrics: NodeMetrics
     suspicions: Suspicions
     clock: Callable[[], float]
@@ -110,7 +110,7 @@
 class Dispatcher:
     """Sends calls to backend servers of their service."""
 
-    def __init__(self, parts: DispatchParts) -> None:
+    def __init__(self, parts: DispatcherDependencies) -> None:
         self._parts = parts
         self._routing = parts.routing
         self._clock = parts.clock
@@ -141,16 +141,16 @@
                 progress.take_refusal(choice, is_sent=False)
                 break
             progress.tried.append(choice.target.member.node_id)
-            gate_result = await self._attempt(call, choice)
-            levels = self._list_levels(choice.target, gate_result.report)
+            gateway_result = await self._attempt(call, choice)
+            levels = self._list_levels(choice.target, gateway_result.report)
             progress.levels = merge_levels(progress.levels, levels)
             if call.depth == 1:
-                self._record_place(call, choice.target, gate_result, levels)
-            progress.take(gate_result)
+                self._record_place(call, choice.target, gateway_result, levels)
+            progress.take(gateway_result)
             if progress.answer is not None:
                 break
             decision = self._retries.decide(
-                call, gate_result, progress.attempts
+                call, gateway_result, progress.attempts
             )
             _log_retry(call, decision, progress.attempts)
             if not decision.is_allowed:
@@ -164,15 +164,15 @@
         self,
         call: OutgoingCall,
         target: Target,
-        gate_result: GateResult,
+        gateway_result: GatewayResult,
         levels: dict[str, int],
     ) -> None:
         """Take note of what a request met where it was sent."""
         now = self._clock()
         data_centre = target.member.data_centre
         self._routing.path_levels.record(call.kind, data_centre, levels, now)
-        answer = gate_result.answer
-        has_failed = gate_result.report.is_failure
+        answer = gateway_result.answer
+        has_failed = gateway_result.report.is_failure
         if isinstance(answer, Refusal):
             if answer.outcome == Outcome.NOT_RUN:
                 return
@@ -248,34 +248,36 @@
         )
         return Refusal(Outcome.NOT_RUN, reason, absence.reason)
 
-    async def _attempt(self, call: OutgoingCall, choice: Choice) -> GateResult:
+    async def _attempt(
+        self, call: OutgoingCall, choice: Choice
+    ) -> GatewayResult:
         target = choice.target
         share = call.account.lend()
         header = self._build_header(call, target, share)
         started_at = self._clock()
         target.in_flight += 1
         try:
-            gate_result = await self._send(call, header, choice)
+            gateway_result = await self._send(call, header, choice)
         finally:
             target.in_flight -= 1
         now = self._clock()
-        report = gate_result.report
-        if isinstance(gate_result.answer, HttpResponse):
-            size = len(call.body) + len(gate_result.answer.body)
+        report = gateway_result.report
+        if isinstance(gateway_result.answer, HttpResponse):
+            size = len(call.body) + len(gateway_result.answer.body)
             self._sizes.record(_name_size(call), size + HEADER_BYTES)
         call.account.restore(share, report.retries)
         if report.call_id:
             target.record_report(report, now - started_at, now)
         self._parts.suspicions.take(report.suspicion)
-        self._count_failure(target, gate_result.answer)
-        has_failed = has_failed_there(gate_result)
+        self._count_failure(target, gateway_result.answer)
+        has_failed = has_failed_there(gateway_result)
         if has_failed is not None:
             target.record_health(has_failed=has_failed, now=now)
-        return gate_result
+        return gateway_result
 
     async def _send(
         self, call: OutgoingCall, header: CallHeader, choice: Choice
-    ) -> GateResult:
+    ) -> GatewayResult:
         if choice.target.member.node_id == self._parts.node_id:
             return await self._parts.gate.handle_call(header, call)
         target = choice.target
--- a/merlintrail/node/_gauges.py
+++ b/merlintrail/node/_gauges.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Final, NamedTuple
 
+from merlintrail.node._backend_gateway import BackendGateway
 from merlintrail.node._gate import Gate
-from merlintrail.node._backend_gateway import Gatekeeper
 from merlintrail.observability import GaugePoint, NodeMetrics
 from merlintrail.state import ConfigurationHolder, MemberTable
 
@@ -57,7 +57,7 @@
     metrics: NodeMetrics,
     holder: ConfigurationHolder,
     table: MemberTable,
-    gatekeeper: Gatekeeper,
+    gateway: BackendGateway,
 ) -> None:
     """Register every gauge of a node."""
     metrics.observe_gauge(
@@ -73,15 +73,15 @@
         lambda: [GaugePoint(len(table))],
     )
     for gauge in _GATE_GAUGES:
-        _register_gate_gauge(metrics, gatekeeper, gauge)
+        _register_gate_gauge(metrics, gateway, gauge)
 
 
 def _register_gate_gauge(
-    metrics: NodeMetrics, gatekeeper: Gatekeeper, gauge: _GateGauge
+    metrics: NodeMetrics, gateway: BackendGateway, gauge: _GateGauge
 ) -> None:
     metrics.observe_gauge(
         gauge.name,
         gauge.unit,
         gauge.description,
-        lambda: _read_gates(gatekeeper.gates, gauge.read),
+        lambda: _read_gates(gateway.gates, gauge.read),
     )
--- a/merlintrail/node/_ingress.py
+++ b/merlintrail/node/_ingress.py
@@ -41,7 +41,7 @@
 _UNSUPPORTED_METHODS: Final = frozenset(('CONNECT', 'TRACE'))
 
 
-class IngressParts(NamedTuple):
+class IngressDependencies(NamedTuple):
     """What the ingress is made with."""
 
     instance: str
@@ -71,7 +71,7 @@
 class Ingress:
     """Serves one request from its arrival to its answer."""
 
-    def __init__(self, parts: IngressParts) -> None:
+    def __init__(self, parts: IngressDependencies) -> None:
         self._parts = parts
         self._clock = parts.clock
         self._resolver = Resolver(parts.source)
--- a/merlintrail/node/_keyed.py
+++ b/merlintrail/node/_keyed.py
@@ -19,7 +19,7 @@
 from merlintrail.node._answers import read_peer_answer
 from merlintrail.node._calls import (
     CallResult,
-    GateResult,
+    GatewayResult,
     OutgoingCall,
     compute_call_digest,
 )
@@ -56,7 +56,7 @@
 _MOVED: Final = frozenset((Reason.LEDGER_MOVED, Reason.PEER_LOST))
 
 
-class KeyedParts(NamedTuple):
+class KeyedCallsDependencies(NamedTuple):
     """What keyed calls are made with."""
 
     node_id: str
@@ -73,7 +73,7 @@
 class KeyedCalls:
     """Runs keyed calls through the ledger."""
 
-    def __init__(self, parts: KeyedParts) -> None:
+    def __init__(self, parts: KeyedCallsDependencies) -> None:
         self._parts = parts
         self._ledger: Ledger | None = None
         self._owners: dict[int, Member | None] = {}
@@ -133,7 +133,7 @@
 
     async def handle_peer_call(
         self, header: CallHeader, call: OutgoingCall
-    ) -> GateResult:
+    ) -> GatewayResult:
         """Run a keyed call for another node."""
         call_result = await self.execute_here(call)
         answer = call_result.answer
@@ -149,7 +149,7 @@
             service_ms=0.0,
             is_draining=False,
         )
-        return GateResult(answer, report)
+        return GatewayResult(answer, report)
 
     async def recall(self, record: KeyRecord) -> HttpResponse | Refusal | None:
         """Ask an earlier owner for the answer to a key."""
@@ -234,9 +234,11 @@
             call.key,
         )
         answer = await self._parts.exchange.send(owner, header, call, USUAL_S)
-        gate_result = read_peer_answer(header, answer)
-        call.account.restore(share, gate_result.report.retries)
-        return CallResult(gate_result.answer, gate_result.report.path_levels)
+        gateway_result = read_peer_answer(header, answer)
+        call.account.restore(share, gateway_result.report.retries)
+        return CallResult(
+            gateway_result.answer, gateway_result.report.path_levels
+        )
 
     def _may_try_next(
         self, call: OutgoingCall, call_result: CallResult, attempt: int
--- a/merlintrail/node/_lifecycle.py
+++ b/merlintrail/node/_lifecycle.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from merlintrail.coordination import Heartbeats, Membership
-from merlintrail.node._backend_gateway import Gatekeeper
+from merlintrail.node._backend_gateway import BackendGateway
 from merlintrail.node._ingress import Ingress
 from merlintrail.observability import log_decision
 from merlintrail.state import (
@@ -44,7 +44,7 @@
     holder: ConfigurationHolder
     membership: Membership
     heartbeats: Heartbeats
-    gatekeeper: Gatekeeper
+    gateway: BackendGateway
     ingress: Ingress
     wall_clock: Callable[[], float]
 
@@ -99,7 +99,7 @@
             self._parts.data_centre,
             now,
         )
-        self._parts.gatekeeper.planned_stop = stop
+        self._parts.gateway.planned_stop = stop
         if stop is not None and self._compute_notice(stop) <= now:
             self.start_drain(f'planned stop {stop.stop_id}')
 
@@ -119,12 +119,12 @@
         await asyncio.sleep(max(0.0, serve_s - TELL_S))
         self._parts.membership.update_own(status=MemberStatus.DRAINING)
         await asyncio.sleep(min(TELL_S, serve_s))
-        self._parts.gatekeeper.is_draining = True
+        self._parts.gateway.is_draining = True
         self._parts.ingress.is_closed = True
         await self._end_when_idle(grace_s * (1 - SERVE_SHARE - END_SHARE))
 
     async def _drain_and_stop(self) -> None:
-        self._parts.gatekeeper.is_draining = True
+        self._parts.gateway.is_draining = True
         self._parts.membership.update_own(status=MemberStatus.DRAINING)
         await asyncio.sleep(SPREAD_S)
         await self._end_when_idle(MAX_DRAIN_S)
@@ -154,8 +154,6 @@
     async def _wait_until_idle(self) -> None:
         quiet_checks = 0
         while quiet_checks < 2:
-            running = (
-                self._parts.gatekeeper.running + self._parts.ingress.running
-            )
+            running = self._parts.gateway.running + self._parts.ingress.running
             quiet_checks = 0 if running else quiet_checks + 1
             await asyncio.sleep(CHECK_INTERVAL_S)
--- a/merlintrail/node/_local_service.py
+++ b/merlintrail/node/_local_service.py
@@ -9,7 +9,7 @@
     is_local_sender,
     read_announcement,
 )
-from merlintrail.node._backend_gateway import Gatekeeper
+from merlintrail.node._backend_gateway import BackendGateway
 from merlintrail.observability import log_decision
 from merlintrail.protocol import decode_json, encode_json
 from merlintrail.transport import HttpRequest, HttpResponse, RequestHandler
@@ -28,12 +28,12 @@
 
     def __init__(
         self,
-        gatekeeper: Gatekeeper,
+        gateway: BackendGateway,
         serve: RequestHandler,
         own_host: str,
         build_health: Callable[[], Mapping[str, Any]],
     ) -> None:
-        self._gatekeeper = gatekeeper
+        self._gateway = gateway
         self._serve = serve
         self._own_host = own_host
         self._build_health = build_health
@@ -66,18 +66,18 @@
         announcement = read_announcement(document)
         if isinstance(announcement, InvalidAnnouncement):
             return _build_answer(400, {'findings': announcement.findings})
-        self._gatekeeper.registry.announce(announcement)
+        self._gateway.registry.announce(announcement)
         return _build_answer(200, {'ttl_s': announcement.ttl_s})
 
     def _drain(self, document: Mapping[str, Any]) -> HttpResponse:
         service = document.get('service')
-        gate = self._gatekeeper.gates.get(str(service))
+        gate = self._gateway.gates.get(str(service))
         if gate is None:
-            known = json.dumps(sorted(self._gatekeeper.gates))
+            known = json.dumps(sorted(self._gateway.gates))
             return _build_answer(
                 404, {'error': f'{service!r} is not announced; known: {known}'}
             )
         announcement = gate.backend.announcement._replace(is_ready=False)
-        self._gatekeeper.registry.announce(announcement)
+        self._gateway.registry.announce(announcement)
         log_decision('drain', service=announcement.service)
         return _build_answer(200, {'running': gate.admission.running})
--- a/merlintrail/node/_node.py
+++ b/merlintrail/node/_node.py
@@ -14,7 +14,7 @@
     Relay,
 )
 from merlintrail.node._backend import HINT_INTERVAL_S
-from merlintrail.node._call_path import PathParts, create_call_path
+from merlintrail.node._call_path import CallPathDependencies, create_call_path
 from merlintrail.node._environment import Environment, split_host_port
 from merlintrail.node._gauges import register_gauges
 from merlintrail.node._joiner import Joiner, JoinParts
@@ -79,7 +79,7 @@
         self._create_coordination()
         self._create_call_path()
         self._create_services()
-        register_gauges(self.metrics, self.holder, self.table, self.gatekeeper)
+        register_gauges(self.metrics, self.holder, self.table, self.gateway)
         self.holder.add_listener(self._apply_configuration)
         self.table.add_listener(self.routing.update_member)
         self.table.add_listener(self._drop_connections)
@@ -171,7 +171,7 @@
         reasons = []
         if self.holder.current is None:
             reasons.append('no configuration yet')
-        if self.gatekeeper.is_draining or self.lifecycle.is_leaving:
+        if self.gateway.is_draining or self.lifecycle.is_leaving:
             reasons.append('draining')
         return {'is_ready': not reasons, 'reasons': reasons}
 
@@ -190,9 +190,7 @@
             'members': len(self.table.list_present()),
             'member_digest': f'{self.table.digest:016x}',
             'running': self.ingress.running,
-            'backend_servers': describe_backends(
-                self.gatekeeper, self._clock()
-            ),
+            'backend_servers': describe_backends(self.gateway, self._clock()),
             'ledger_running': self.keyed.ledger.running,
             'store_calls': dict(getattr(self._environment.store, 'counts', {})),
             'control_bytes': {
@@ -249,7 +247,7 @@
 
     def _create_call_path(self) -> None:
         path = create_call_path(
-            PathParts(
+            CallPathDependencies(
                 self.settings,
                 self.incarnation,
                 self._environment,
@@ -268,7 +266,7 @@
         self.calls = path.calls
         self.suspicions = path.suspicions
         self.contexts = path.contexts
-        self.gatekeeper = path.gatekeeper
+        self.gateway = path.gateway
         self.dispatcher = path.dispatcher
         self.keyed = path.keyed
         self.ingress = path.ingress
@@ -282,21 +280,21 @@
                 self.holder,
                 self.membership,
                 self.heartbeats,
-                self.gatekeeper,
+                self.gateway,
                 self.ingress,
                 self._wall_clock,
             )
         )
         host, _ = split_host_port(settings.call_address)
         self.local_service = LocalService(
-            self.gatekeeper, self.ingress.handle, host, self.build_health
+            self.gateway, self.ingress.handle, host, self.build_health
         )
         self.peer_service = PeerService(
             PeerParts(
                 settings.fleet_key,
                 self.incarnation,
                 self.calls,
-                self.gatekeeper,
+                self.gateway,
                 self.keyed,
                 self.heartbeats,
                 self,
@@ -309,12 +307,12 @@
         platform = self.settings.platform
         if platform is not None and platform.service:
             return platform.service
-        return self.gatekeeper.registry.find_own_service()
+        return self.gateway.registry.find_own_service()
 
     def _apply_configuration(self, configuration: Configuration) -> None:
         self.routing.update_regions(configuration.regions)
         self._update_retries(configuration)
-        self.gatekeeper.update_configuration(configuration)
+        self.gateway.update_configuration(configuration)
         self.keyed.ledger.update_settings(configuration.ledger)
         self._update_links(configuration)
         _LOG.info(
@@ -354,7 +352,7 @@
                 gate.backend.announcement.slots,
                 gate.backend.is_ready(now),
             )
-            for name, gate in sorted(self.gatekeeper.gates.items())
+            for name, gate in sorted(self.gateway.gates.items())
         )
         self.membership.update_own(offers=offers)
 
@@ -372,7 +370,7 @@
     async def _follow_hints(self) -> None:
         while True:
             await asyncio.sleep(HINT_INTERVAL_S)
-            await self.gatekeeper.refresh_hints()
+            await self.gateway.refresh_hints()
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         self._tasks.append(asyncio.create_task(work))
--- a/merlintrail/node/_peer_service.py
+++ b/merlintrail/node/_peer_service.py
@@ -6,13 +6,13 @@
 from typing import Any, Final, NamedTuple, Protocol
 
 from merlintrail.coordination import PEER_PATH, Heartbeats
+from merlintrail.node._backend_gateway import BackendGateway
 from merlintrail.node._calls import (
-    GateResult,
+    GatewayResult,
     OutgoingCall,
     build_peer_answer,
     list_forwarded,
 )
-from merlintrail.node._backend_gateway import Gatekeeper
 from merlintrail.node._keyed import KeyedCalls
 from merlintrail.observability import log_decision
 from merlintrail.protocol import (
@@ -55,7 +55,7 @@
     fleet_key: str
     incarnation: int
     calls: CallTable
-    gatekeeper: Gatekeeper
+    gateway: BackendGateway
     keyed: KeyedCalls
     heartbeats: Heartbeats
     status: StatusSource
@@ -104,8 +104,8 @@
             return build_refusal_response(refusal, '')
         call = self._build_call(request, header)
         if header.key is None:
-            gate_result = await self._parts.gatekeeper.handle_call(header, call)
-            return build_peer_answer(gate_result, header.request_id)
+            gateway_result = await self._parts.gateway.handle_call(header, call)
+            return build_peer_answer(gateway_result, header.request_id)
         return await self._handle_keyed(header, call)
 
     async def _handle_keyed(
@@ -118,13 +118,15 @@
             if state in {None, InquiryState.TOMBSTONE}:
                 refusal = Refusal(Outcome.NOT_RUN, Reason.TOMBSTONE)
             return build_refusal_response(refusal, header.request_id)
-        gate_result: GateResult | None = None
+        gateway_result: GatewayResult | None = None
         try:
-            gate_result = await self._parts.keyed.handle_peer_call(header, call)
+            gateway_result = await self._parts.keyed.handle_peer_call(
+                header, call
+            )
         finally:
-            if gate_result is None:
+            if gateway_result is None:
                 calls.abandon(header.call_id)
-        answer = build_peer_answer(gate_result, header.request_id)
+        answer = build_peer_answer(gateway_result, header.request_id)
         calls.finish(header.call_id, answer)
         return answer
 
--- a/merlintrail/node/_progress.py
+++ b/merlintrail/node/_progress.py
@@ -1,7 +1,7 @@
 """What came of the attempts of one call."""
 
 from merlintrail.node._answers import combine_refusals
-from merlintrail.node._calls import GateResult
+from merlintrail.node._calls import GatewayResult
 from merlintrail.node._retry_policy import Attempts
 from merlintrail.protocol import Reason, Refusal
 from merlintrail.transport import HttpResponse
@@ -23,17 +23,17 @@
         self._failed: HttpResponse | None = None
         self._refusal: Refusal | None = None
 
-    def take(self, gate_result: GateResult) -> None:
+    def take(self, gateway_result: GatewayResult) -> None:
         """Take what came of an attempt."""
-        answer = gate_result.answer
-        self.attempts = self.attempts.add(gate_result)
-        self.calls += 1 + gate_result.report.calls_below
+        answer = gateway_result.answer
+        self.attempts = self.attempts.add(gateway_result)
+        self.calls += 1 + gateway_result.report.calls_below
         if isinstance(answer, Refusal):
             self.take_refusal(answer, is_sent=True)
             if answer.reason == Reason.TOMBSTONE:
                 # The peer is well, only its old connections were not.
                 self.tried.pop()
-        elif gate_result.report.is_failure:
+        elif gateway_result.report.is_failure:
             self._failed = answer
         else:
             self.answer = answer
--- a/merlintrail/node/_retry_policy.py
+++ b/merlintrail/node/_retry_policy.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Final, NamedTuple
 
-from merlintrail.node._calls import GateResult, OutgoingCall
+from merlintrail.node._calls import GatewayResult, OutgoingCall
 from merlintrail.node._suspicions import Suspicions
 from merlintrail.protocol import (
     SUBLEVELS,
@@ -48,9 +48,9 @@
     #: Those in which none was.
     redirects: int = 0
 
-    def add(self, gate_result: GateResult) -> 'Attempts':
+    def add(self, gateway_result: GatewayResult) -> 'Attempts':
         """Count one more attempt."""
-        answer = gate_result.answer
+        answer = gateway_result.answer
         if isinstance(answer, Refusal):
             is_proved = answer.outcome == Outcome.NOT_RUN
             if is_proved and answer.reason not in _HANDED:
@@ -104,18 +104,18 @@
         self.budgets.find(call.service).record_attempt()
 
     def decide(
-        self, call: OutgoingCall, gate_result: GateResult, made: Attempts
+        self, call: OutgoingCall, gateway_result: GatewayResult, made: Attempts
     ) -> RetryDecision:
         """Decide whether to send a call again, and take what that costs."""
         is_hopeless = (
-            not gate_result.report.may_retry
+            not gateway_result.report.may_retry
             or call.deadline <= self._clock()
             or self._suspicions.is_convicted(call)
         )
         if is_hopeless:
             return RetryDecision.HOPELESS
-        answer = gate_result.answer
-        cost = 1.0 + gate_result.report.calls_below
+        answer = gateway_result.answer
+        cost = 1.0 + gateway_result.report.calls_below
         has_attempt = call.attempts is None or made.handed < call.attempts
         is_proved = False
         if isinstance(answer, Refusal):
@@ -148,13 +148,13 @@
     return RetryDecision.NO_ATTEMPT_LEFT
 
 
-def has_failed_there(gate_result: GateResult) -> bool | None:
+def has_failed_there(gateway_result: GatewayResult) -> bool | None:
     """Tell whether a call failed in its backend server.
 
     :returns: ``None`` when the attempt tells nothing about it.
     """
-    answer = gate_result.answer
-    report = gate_result.report
+    answer = gateway_result.answer
+    report = gateway_result.report
     if isinstance(answer, HttpResponse):
         is_own = report.may_retry
         return is_own if report.is_failure else False
--- a/merlintrail/node/_status.py
+++ b/merlintrail/node/_status.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, Final
 
-from merlintrail.node._backend_gateway import Gatekeeper
+from merlintrail.node._backend_gateway import BackendGateway
 from merlintrail.protocol import Importance
 from merlintrail.state import Configuration, Member, MemberStatus
 
@@ -11,7 +11,7 @@
 
 
 def describe_backends(
-    gatekeeper: Gatekeeper, now: float
+    gateway: BackendGateway, now: float
 ) -> Sequence[Mapping[str, Any]]:
     """Describe the backend servers beside a node."""
     return [
@@ -28,7 +28,7 @@
             'health_hint': gate.backend.health_hint,
             'load_hint': gate.backend.load_hint,
         }
-        for name, gate in gatekeeper.gates.items()
+        for name, gate in gateway.gates.items()
     ]
 
 
--- a/merlintrail/node/tests/session.py
+++ b/merlintrail/node/tests/session.py
@@ -93,7 +93,7 @@
             return await handler(request)
 
         self.network.handlers[address] = run
-        self.nodes[name].gatekeeper.registry.announce(
+        self.nodes[name].gateway.registry.announce(
             Announcement(service, address, slots, ttl_s=1.0e6)
         )
         self._introduce()
--- a/merlintrail/node/tests/test_announcements.py
+++ b/merlintrail/node/tests/test_announcements.py
@@ -70,17 +70,17 @@
 
         async def scenario() -> None:
             session = _create_session()
-            gatekeeper = session.nodes['one'].gatekeeper
-            gatekeeper.registry.announce(_KNOWN)
+            gateway = session.nodes['one'].gateway
+            gateway.registry.announce(_KNOWN)
             drain = _KNOWN._replace(sequence=6, is_ready=False)
-            gatekeeper.registry.announce(drain)
+            gateway.registry.announce(drain)
             answer = await session.call('one', '/svc/read')
             self.assertEqual(answer.status, 503)
-            gatekeeper.registry.announce(_KNOWN._replace(sequence=4))
+            gateway.registry.announce(_KNOWN._replace(sequence=4))
             self.assertEqual(
                 (await session.call('one', '/svc/read')).status, 503
             )
-            gatekeeper.registry.announce(
+            gateway.registry.announce(
                 _KNOWN._replace(started_at_ms=2000, sequence=1)
             )
             self.assertEqual(
@@ -95,14 +95,12 @@
         async def scenario() -> None:
             for started_at_ms in (1000, None):
                 session = _create_session()
-                gatekeeper = session.nodes['one'].gatekeeper
-                gatekeeper.gates.clear()
-                gatekeeper.registry.dismiss('i-1', started_at_ms)
-                order = gatekeeper.registry.announce(
-                    _KNOWN._replace(sequence=4)
-                )
+                gateway = session.nodes['one'].gateway
+                gateway.gates.clear()
+                gateway.registry.dismiss('i-1', started_at_ms)
+                order = gateway.registry.announce(_KNOWN._replace(sequence=4))
                 self.assertEqual(order, AnnouncementOrder.STALE)
-                self.assertEqual(gatekeeper.gates, {})
+                self.assertEqual(gateway.gates, {})
 
         run_virtually(scenario())
 
@@ -111,14 +109,14 @@
 
         async def scenario() -> None:
             session = _create_session()
-            gatekeeper = session.nodes['one'].gatekeeper
-            gatekeeper.registry.announce(_KNOWN)
-            gatekeeper.registry.announce(
+            gateway = session.nodes['one'].gateway
+            gateway.registry.announce(_KNOWN)
+            gateway.registry.announce(
                 _KNOWN._replace(
                     service='other', identity='i-2', started_at_ms=3000
                 )
             )
-            self.assertEqual(list(gatekeeper.gates), ['other'])
+            self.assertEqual(list(gateway.gates), ['other'])
             answer = await session.call('one', '/svc/read')
             self.assertEqual(answer.status, 503)
 
--- a/merlintrail/node/tests/test_golden_sessions.py
+++ b/merlintrail/node/tests/test_golden_sessions.py
@@ -142,7 +142,7 @@
     await session.call('ingress', '/fitadvisor/advice', 'swallowed')
     session.network.losing['advisor:2'] = 1
     await session.call('ingress', '/fitadvisor/advice', 'answer lost')
-    session.nodes['advisor'].gatekeeper.is_draining = True
+    session.nodes['advisor'].gateway.is_draining = True
     await session.call('ingress', '/fitadvisor/advice', 'draining')
 
 
--- a/merlintrail/node/tests/test_hints.py
+++ b/merlintrail/node/tests/test_hints.py
@@ -30,7 +30,7 @@
 
     for name in ('one', 'two'):
         session.add_backend(name, 'svc', handle)
-        session.nodes[name].gatekeeper.registry.announce(
+        session.nodes[name].gateway.registry.announce(
             Announcement(
                 'svc',
                 f'{name}:svc',
@@ -52,7 +52,7 @@
         async def scenario() -> None:
             session = _create_session(500)
             for name in ('one', 'two'):
-                await session.nodes[name].gatekeeper.refresh_hints()
+                await session.nodes[name].gateway.refresh_hints()
             await asyncio.sleep(10)
             for number in range(6):
                 answer = await session.call('ingress', '/svc/read', f'{number}')
@@ -69,13 +69,13 @@
         async def scenario() -> None:
             session = _create_session(200)
             for name in ('one', 'two'):
-                await session.nodes[name].gatekeeper.refresh_hints()
+                await session.nodes[name].gateway.refresh_hints()
             await asyncio.sleep(10)
             session.network.refusing.add('one:svc')
             for number in range(6):
                 answer = await session.call('ingress', '/svc/read', f'{number}')
                 self.assertEqual(answer.status, 200)
-            backend = session.nodes['one'].gatekeeper.gates['svc'].backend
+            backend = session.nodes['one'].gateway.gates['svc'].backend
             self.assertTrue(backend.health_hint.startswith('200'))
             self.assertLessEqual(session.network.counts['one:svc'], 4)
 
--- a/merlintrail/node/tests/test_inquiries.py
+++ b/merlintrail/node/tests/test_inquiries.py
@@ -83,7 +83,7 @@
             for _ in range(4):
                 session = create_read_write_session('one', 'two')
                 session.network.silent.add('one:2')
-                session.nodes['two'].gatekeeper.is_draining = True
+                session.nodes['two'].gateway.is_draining = True
                 answer = await session.call('ingress', '/svc/read', 'a')
                 if session.network.counts['one:2']:
                     self.assertEqual(
--- a/merlintrail/node/tests/test_outcomes.py
+++ b/merlintrail/node/tests/test_outcomes.py
@@ -68,7 +68,7 @@
             call.cancel()
             await asyncio.sleep(0.05)
             self.assertTrue(ended.is_set())
-            self.assertEqual(session.nodes['two'].gatekeeper.running, 0)
+            self.assertEqual(session.nodes['two'].gateway.running, 0)
 
         run_virtually(scenario())
 
--- a/merlintrail/node/tests/test_stops_and_crashes.py
+++ b/merlintrail/node/tests/test_stops_and_crashes.py
@@ -25,7 +25,7 @@
 
         async def scenario() -> None:
             session = create_read_write_session('one', 'two')
-            session.nodes['one'].gatekeeper.is_draining = True
+            session.nodes['one'].gateway.is_draining = True
             for number in range(10):
                 answer = await session.call(
                     'ingress', '/svc/write', str(number)
--- a/merlintrail/platform/_adapter.py
+++ b/merlintrail/platform/_adapter.py
@@ -26,8 +26,8 @@
         self._servers: list[HttpServer] = []
         self._heartbeats = HeartbeatService(
             HeartbeatParts(
-                node.gatekeeper.registry.announce,
-                node.gatekeeper.registry.dismiss,
+                node.gateway.registry.announce,
+                node.gateway.registry.dismiss,
                 self._is_service,
                 lambda: self._settings.backend_address,
             )
--- a/merlintrail/platform/tests/test_calls_below.py
+++ b/merlintrail/platform/tests/test_calls_below.py
@@ -101,7 +101,7 @@
             await asyncio.sleep(0.006)
             serving.cancel()
             await asyncio.sleep(0.1)
-            self.assertEqual(session.nodes['lower'].gatekeeper.running, 0)
+            self.assertEqual(session.nodes['lower'].gateway.running, 0)
             self.assertLessEqual(session.executions['lower '], 1)
 
         run_virtually(scenario())
