--- a/merlintrail/node/_answers.py
+++ b/merlintrail/node/_answers.py
@@ -38,8 +38,12 @@
 ) -> GatewayResult:
     """Read what a peer answered, with the report that came along."""
     if isinstance(answer, Refusal):
-        returned = header.retries if answer.outcome == Outcome.NOT_RUN else 0
-        return GatewayResult(answer, _build_silence(answer, returned))
+        returned_retries = (
+            header.retries if answer.outcome == Outcome.NOT_RUN else 0
+        )
+        return GatewayResult(
+            answer, _build_missing_report(answer, returned_retries)
+        )
     encoded = answer.find_header(REPORT_HEADER)
     report = (
         DecodeFailure('no report')
@@ -50,7 +54,7 @@
         refusal = Refusal(
             Outcome.MAY_HAVE_RUN, Reason.PEER_LOST, 'answer to another call'
         )
-        return GatewayResult(refusal, _build_silence(refusal, 0))
+        return GatewayResult(refusal, _build_missing_report(refusal, 0))
     if report.reason:
         refusal = Refusal(
             Outcome(report.outcome),
@@ -62,13 +66,15 @@
     return GatewayResult(stripped, report)
 
 
-def _build_silence(refusal: Refusal, returned: int) -> CallReport:
+def _build_missing_report(
+    refusal: Refusal, returned_retries: int
+) -> CallReport:
     """Build the report of a call that brought none."""
     return CallReport(
         call_id='',
         outcome=refusal.outcome.value,
         reason=refusal.reason.value,
-        retries=returned,
+        retries=returned_retries,
         level=0,
         path_levels={},
         in_flight=0,
--- a/merlintrail/node/_backend_exchange.py
+++ b/merlintrail/node/_backend_exchange.py
@@ -6,7 +6,7 @@
 
 from merlintrail.node._backend import BackendProber
 from merlintrail.node._calls import OutgoingCall
-from merlintrail.node._contexts import ParentCall, name_sort
+from merlintrail.node._contexts import ParentCall, get_call_class
 from merlintrail.node._gate import Gate
 from merlintrail.node._suspicions import Suspicions
 from merlintrail.observability import log_decision
@@ -43,11 +43,11 @@
 class BackendExchange:
     """Exchanges calls with the backend servers beside this node."""
 
-    def __init__(self, parts: BackendExchangeDependencies) -> None:
-        self._parts = parts
-        self._clock = parts.clock
+    def __init__(self, dependencies: BackendExchangeDependencies) -> None:
+        self._deps = dependencies
+        self._clock = dependencies.clock
         self._tasks: set[asyncio.Task[Any]] = set()
-        self.prober = BackendProber(parts.pool, parts.on_change)
+        self.prober = BackendProber(dependencies.pool, dependencies.on_change)
 
     async def run(
         self, gate: Gate, call: OutgoingCall, parent: ParentCall
@@ -59,23 +59,27 @@
         remaining_s = parent.deadline - started_at
         backend.running[header.call_id] = call
         try:
-            answer = await self._parts.pool.exchange(
+            answer = await self._deps.pool.exchange(
                 backend.announcement.address,
                 call.method,
                 call.target,
                 self._list_headers(gate, call, parent, remaining_s),
                 call.body,
                 timeout_s=remaining_s,
-                accepts=lambda received: self._is_own(parent, received),
+                accepts=lambda received: self._is_answer_to_call(
+                    parent, received
+                ),
             )
             if isinstance(answer, TransportFailure):
-                return await self._explain_failure(gate, header, answer)
+                return await self._handle_failure(gate, header, answer)
         finally:
             backend.running.pop(header.call_id, None)
-        return self._judge_answer(gate, parent, answer, started_at)
+        return self._classify_answer(gate, parent, answer, started_at)
 
-    def _is_own(self, parent: ParentCall, answer: HttpResponse) -> bool:
-        verdict = self._parts.dialect.judge_answer(parent.token, answer)
+    def _is_answer_to_call(
+        self, parent: ParentCall, answer: HttpResponse
+    ) -> bool:
+        verdict = self._deps.dialect.judge_answer(parent.token, answer)
         return verdict != BackendVerdict.FOREIGN
 
     def _list_headers(
@@ -93,10 +97,10 @@
         )
         return [
             *call.headers,
-            *self._parts.dialect.list_backend_headers(terms),
+            *self._deps.dialect.list_backend_headers(terms),
         ]
 
-    def _judge_answer(
+    def _classify_answer(
         self,
         gate: Gate,
         parent: ParentCall,
@@ -104,26 +108,30 @@
         started_at: float,
     ) -> HttpResponse | Refusal:
         now = self._clock()
-        held_s = now - started_at
-        gate.backend.load = self._parts.dialect.read_load(answer)
-        verdict = self._parts.dialect.judge_answer(parent.token, answer)
-        is_shed = verdict == BackendVerdict.SHED and not parent.has_failed_below
+        duration_s = now - started_at
+        gate.backend.load = self._deps.dialect.read_load(answer)
+        verdict = self._deps.dialect.judge_answer(parent.token, answer)
+        is_shed = (
+            verdict == BackendVerdict.SHED and not parent.has_failed_nested_call
+        )
         if verdict == BackendVerdict.FAILED:
             parent.has_failed = True
             return answer
         if verdict == BackendVerdict.ANSWERED or (
             verdict == BackendVerdict.SHED and not is_shed
         ):
-            gate.admission.record_service(held_s, name_sort(parent.header))
+            gate.admission.record_service(
+                duration_s, get_call_class(parent.header)
+            )
             gate.limit.record_success(
                 now,
-                parent.compute_own_time(held_s),
+                parent.compute_own_time(duration_s),
                 gate.admission.running,
             )
             return answer
-        return self._take_refusal(gate, parent, verdict, now)
+        return self._record_refusal(gate, parent, verdict, now)
 
-    def _take_refusal(
+    def _record_refusal(
         self,
         gate: Gate,
         parent: ParentCall,
@@ -132,14 +140,16 @@
     ) -> Refusal:
         if verdict == BackendVerdict.MISDIRECTED:
             gate.backend.is_displaced = True
-            self._parts.on_change()
+            self._deps.on_change()
             return Refusal(Outcome.NOT_RUN, Reason.BACKEND_DISPLACED)
         gate.limit.record_refusal(now, gate.admission.running)
-        is_proved = verdict == BackendVerdict.NOT_RUN and not parent.digests
-        outcome = Outcome.NOT_RUN if is_proved else Outcome.MAY_HAVE_RUN
+        is_proven_not_run = (
+            verdict == BackendVerdict.NOT_RUN and not parent.digests
+        )
+        outcome = Outcome.NOT_RUN if is_proven_not_run else Outcome.MAY_HAVE_RUN
         return Refusal(outcome, Reason.BACKEND_REFUSED)
 
-    async def _explain_failure(
+    async def _handle_failure(
         self, gate: Gate, header: CallHeader, failure: TransportFailure
     ) -> Refusal:
         if failure.stage == FailureStage.CONNECT:
@@ -152,16 +162,16 @@
         if not digests and not await self.prober.is_listening(gate.backend):
             digests = running
         if digests:
-            self._record_death(gate, digests)
+            self._record_crash(gate, digests)
         return Refusal(
             Outcome.MAY_HAVE_RUN, Reason.BACKEND_LOST, failure.reason
         )
 
-    def _record_death(self, gate: Gate, digests: list[str]) -> None:
-        suspicions = self._parts.suspicions.record_death(digests)
+    def _record_crash(self, gate: Gate, digests: list[str]) -> None:
+        suspicions = self._deps.suspicions.record_death(digests)
         log_decision(
             'backend-server-death',
-            instance=self._parts.node_id,
+            instance=self._deps.node_id,
             service=gate.backend.announcement.service,
             suspects=len(suspicions),
             convicted=[
@@ -170,13 +180,13 @@
                 if suspicion.is_convicted
             ],
         )
-        self._parts.pool.drop_idle(gate.backend.announcement.address)
+        self._deps.pool.drop_idle(gate.backend.announcement.address)
         self._mark_unreachable(gate)
 
     def _mark_unreachable(self, gate: Gate) -> None:
         if gate.backend.is_reachable:
             gate.backend.is_reachable = False
-            self._parts.on_change()
+            self._deps.on_change()
             task = asyncio.create_task(
                 self.prober.wait_until_back(gate.backend)
             )
--- a/merlintrail/node/_backend_gateway.py
+++ b/merlintrail/node/_backend_gateway.py
@@ -11,7 +11,7 @@
     OutgoingCall,
     build_peer_answer,
 )
-from merlintrail.node._contexts import ContextTable, ParentCall, name_sort
+from merlintrail.node._contexts import ContextTable, ParentCall, get_call_class
 from merlintrail.node._gate import Gate
 from merlintrail.node._suspicions import Suspicions
 from merlintrail.observability import NodeMetrics, log_decision
@@ -57,13 +57,13 @@
 class BackendGateway:
     """Runs calls in the backend servers beside this node."""
 
-    def __init__(self, parts: GatewayDependencies) -> None:
-        self._parts = parts
-        self._clock = parts.clock
+    def __init__(self, dependencies: GatewayDependencies) -> None:
+        self._deps = dependencies
+        self._clock = dependencies.clock
         self._tasks: set[asyncio.Task[Any]] = set()
-        self.registry = parts.registry
+        self.registry = dependencies.registry
         #: Gates by service.
-        self.gates = parts.registry.gates
+        self.gates = dependencies.registry.gates
         #: The next planned stop of this instance.
         self.planned_stop: PlannedStop | None = None
         #: Whether this node no longer takes calls.
@@ -79,39 +79,37 @@
 
     def update_configuration(self, configuration: Configuration) -> None:
         """Take a new configuration."""
-        self._parts.suspicions.expiry_s = configuration.quarantine_expiry_s
+        self._deps.suspicions.expiry_s = configuration.quarantine_expiry_s
         self.registry.update_configuration(configuration)
 
     async def refresh_hints(self) -> None:
         """Look at the endpoints of every backend server."""
         for gate in tuple(self.gates.values()):
-            await self._parts.exchange.prober.read_hints(gate.backend)
+            await self._deps.exchange.prober.read_hints(gate.backend)
 
     async def handle_call(
         self, header: CallHeader, call: OutgoingCall
     ) -> GatewayResult:
         """Run a call, once, and keep its answer for inquiries."""
-        state = self._parts.calls.begin(header.call_id)
+        state = self._deps.calls.begin(header.call_id)
         if state is not None:
-            return self._refuse_repeated(header, state)
+            return self._refuse_seen_call(header, state)
         deadline = self._clock() + header.deadline_ms / _MS_PER_S
-        parent = self._parts.contexts.open(header, deadline, call.headers)
+        parent = self._deps.contexts.open(header, deadline, call.headers)
         try:
             answer = await self._run(header, call, parent)
         except asyncio.CancelledError:
-            self._parts.calls.abandon(header.call_id)
+            self._deps.calls.abandon(header.call_id)
             self._log_cancellation(header, deadline)
             raise
         finally:
-            self._parts.contexts.close(parent)
+            self._deps.contexts.close(parent)
         report = self._build_report(header, parent, answer)
         if report.reason == Reason.BACKEND_LOST:
-            report = report._replace(
-                suspicion=self._parts.suspicions.find(call)
-            )
+            report = report._replace(suspicion=self._deps.suspicions.find(call))
         gateway_result = GatewayResult(answer, report)
         encoded = build_peer_answer(gateway_result, header.request_id)
-        self._parts.calls.finish(header.call_id, encoded)
+        self._deps.calls.finish(header.call_id, encoded)
         gateway_result = gateway_result._replace(encoded=encoded)
         self._record(header, gateway_result)
         return gateway_result
@@ -123,8 +121,8 @@
         refusal = self._check(header, gate)
         if refusal is not None or gate is None:
             return refusal or Refusal(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
-        self._parts.suspicions.take(header.suspicion)
-        suspicion = self._parts.suspicions.find(call)
+        self._deps.suspicions.take(header.suspicion)
+        suspicion = self._deps.suspicions.find(call)
         if suspicion is None:
             return await self._admit(gate, call, parent)
         if suspicion.is_convicted:
@@ -136,7 +134,7 @@
         async with gate.suspect_lock:
             answer = await self._admit(gate, call, parent)
         if isinstance(answer, HttpResponse):
-            self._parts.suspicions.acquit(suspicion)
+            self._deps.suspicions.acquit(suspicion)
         return answer
 
     async def _admit(
@@ -146,17 +144,17 @@
         refusal = await gate.admission.admit(_build_claim(parent))
         if refusal is not None:
             return refusal
-        exchange = self._parts.exchange
+        exchange = self._deps.exchange
         try:
             if header.is_idempotent:
                 return await exchange.run(gate, call, parent)
             running = asyncio.create_task(exchange.run(gate, call, parent))
-            self._keep_task(running)
-            return await self._wait_to_end(running)
+            self._track_task(running)
+            return await self._wait_for_completion(running)
         finally:
             gate.admission.release()
 
-    async def _wait_to_end(
+    async def _wait_for_completion(
         self, running: 'asyncio.Task[HttpResponse | Refusal]'
     ) -> HttpResponse | Refusal:
         """Let a non-idempotent call end even when its caller has gone."""
@@ -168,7 +166,7 @@
 
     def _check(self, header: CallHeader, gate: Gate | None) -> Refusal | None:
         remaining_s = header.deadline_ms / _MS_PER_S
-        if header.incarnation != self._parts.incarnation:
+        if header.incarnation != self._deps.incarnation:
             return Refusal(Outcome.NOT_RUN, Reason.STALE_INCARNATION)
         if self.is_draining:
             return Refusal(Outcome.NOT_RUN, Reason.DRAINING)
@@ -178,12 +176,12 @@
         if refusal is not None:
             return refusal
         if outlasts_start(
-            self.planned_stop, self._parts.wall_clock(), remaining_s
+            self.planned_stop, self._deps.wall_clock(), remaining_s
         ):
             return Refusal(Outcome.NOT_RUN, Reason.PLANNED_STOP)
         return None
 
-    def _refuse_repeated(
+    def _refuse_seen_call(
         self, header: CallHeader, state: InquiryState
     ) -> GatewayResult:
         """Refuse a call that was seen already, or that came too late."""
@@ -222,9 +220,12 @@
             if gate is None
             else round(gate.admission.service_s * _MS_PER_S, 1),
             self.is_draining or (gate is not None and gate.backend.is_draining),
-            not (parent.has_failed_below and (is_refused or parent.has_failed)),
+            not (
+                parent.has_failed_nested_call
+                and (is_refused or parent.has_failed)
+            ),
             is_failure=parent.has_failed,
-            calls_below=parent.calls_below,
+            calls_below=parent.nested_calls,
         )
 
     def _record(
@@ -233,7 +234,7 @@
         report = gateway_result.report
         answer = gateway_result.answer
         detail = answer.detail if isinstance(answer, Refusal) else ''
-        self._parts.metrics.record_call(
+        self._deps.metrics.record_call(
             header.service, report.outcome, report.reason
         )
         log_decision(
@@ -241,7 +242,7 @@
             request_id=header.request_id,
             call_id=header.call_id,
             service=header.service,
-            instance=self._parts.node_id,
+            instance=self._deps.node_id,
             outcome=report.outcome,
             reason=report.reason,
             detail=detail or None,
@@ -258,11 +259,11 @@
             request_id=header.request_id,
             call_id=header.call_id,
             service=header.service,
-            instance=self._parts.node_id,
+            instance=self._deps.node_id,
             remaining_ms=round(remaining_s * _MS_PER_S, 1),
         )
 
-    def _keep_task(self, task: 'asyncio.Task[Any]') -> None:
+    def _track_task(self, task: 'asyncio.Task[Any]') -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -277,5 +278,5 @@
         parent.deadline,
         header.depth > 1,
         objective_s,
-        name_sort(header),
+        get_call_class(header),
     )
--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -74,21 +74,24 @@
     suspicions: Suspicions
 
 
-def create_call_path(parts: CallPathDependencies) -> CallPath:
+def create_call_path(dependencies: CallPathDependencies) -> CallPath:
     """Create the parts from the backend server outwards."""
-    environment = parts.environment
-    settings = parts.settings
+    environment = dependencies.environment
+    settings = dependencies.settings
     suspicions = Suspicions(
-        parts.quarantine,
+        dependencies.quarantine,
         environment.wall_clock,
-        parts.membership.tell_suspicions,
-        f'{settings.instance}/{parts.incarnation}',
+        dependencies.membership.tell_suspicions,
+        f'{settings.instance}/{dependencies.incarnation}',
     )
     contexts = ContextTable(environment.dialect, environment.source)
     calls = CallTable(environment.clock)
-    gateway = _create_gateway(parts, suspicions, contexts, calls)
+    gateway = _create_gateway(dependencies, suspicions, contexts, calls)
     exchange = PeerExchange(
-        parts.pool, parts.peers, settings.fleet_key, environment.clock
+        dependencies.pool,
+        dependencies.peers,
+        settings.fleet_key,
+        environment.clock,
     )
     routing = RoutingTable(
         Place(settings.instance, settings.data_centre),
@@ -98,29 +101,29 @@
     dispatcher = Dispatcher(
         DispatcherDependencies(
             settings.instance,
-            parts.holder,
+            dependencies.holder,
             routing,
             exchange,
             gateway,
-            parts.metrics,
+            dependencies.metrics,
             suspicions,
             environment.clock,
             environment.source,
         )
     )
-    keyed = _create_keyed(parts, dispatcher, exchange)
+    keyed = _create_keyed(dependencies, dispatcher, exchange)
     ingress = Ingress(
         IngressDependencies(
             settings.instance,
             settings.data_centre,
-            parts.holder,
+            dependencies.holder,
             contexts,
             dispatcher,
             keyed,
             suspicions,
-            parts.metrics,
+            dependencies.metrics,
             environment.dialect,
-            parts.find_own_service,
+            dependencies.find_own_service,
             environment.clock,
             environment.wall_clock,
             environment.source,
@@ -139,64 +142,68 @@
 
 
 def _create_gateway(
-    parts: CallPathDependencies,
+    dependencies: CallPathDependencies,
     suspicions: Suspicions,
     contexts: ContextTable,
     calls: CallTable,
 ) -> BackendGateway:
-    environment = parts.environment
-    instance = parts.settings.instance
+    environment = dependencies.environment
+    instance = dependencies.settings.instance
     exchange = BackendExchange(
         BackendExchangeDependencies(
             instance,
-            parts.pool,
+            dependencies.pool,
             environment.dialect,
             suspicions,
             environment.clock,
-            parts.on_change,
+            dependencies.on_change,
         )
     )
     return BackendGateway(
         GatewayDependencies(
             instance,
-            parts.incarnation,
+            dependencies.incarnation,
             exchange,
             calls,
             contexts,
             suspicions,
-            parts.metrics,
+            dependencies.metrics,
             environment.clock,
             environment.wall_clock,
             BackendRegistry(
-                environment.clock, environment.wall_clock, parts.on_change
+                environment.clock,
+                environment.wall_clock,
+                dependencies.on_change,
             ),
         )
     )
 
 
 def _create_keyed(
-    parts: CallPathDependencies, dispatcher: Dispatcher, exchange: PeerExchange
+    dependencies: CallPathDependencies,
+    dispatcher: Dispatcher,
+    exchange: PeerExchange,
 ) -> KeyedCalls:
-    environment = parts.environment
-    instance = parts.settings.instance
+    environment = dependencies.environment
+    instance = dependencies.settings.instance
     keyed = KeyedCalls(
         KeyedCallsDependencies(
             instance,
-            parts.holder,
-            parts.table,
+            dependencies.holder,
+            dependencies.table,
             dispatcher,
             exchange,
-            parts.peers,
+            dependencies.peers,
             environment.clock,
             environment.wall_clock,
             environment.source,
         )
     )
-    slot_parts = SlotParts(
+    slot_dependencies = SlotParts(
         environment.store,
         instance,
         environment.wall_clock,
         lambda: create_id(environment.source),
     )
-    keyed.attach(create_ledger(slot_parts, keyed.recall))
+    keyed.attach(create_ledger(slot_dependencies, keyed.recall))
     return keyed
--- a/merlintrail/node/_calls.py
+++ b/merlintrail/node/_calls.py
@@ -45,7 +45,7 @@
     objective_ms: float | None = None
     #: Backend servers that the call may be handed to, ``None`` for no bound
     #: but the account.
-    attempts: int | None = None
+    max_attempts: int | None = None
     #: Identifier of the request that it was made for, where it has another
     #: of its own.
     parent_id: str | None = None
--- a/merlintrail/node/_contexts.py
+++ b/merlintrail/node/_contexts.py
@@ -26,45 +26,45 @@
         #: Shedding levels of services below, by name.
         self.path_levels: dict[str, int] = {}
         #: Whether a call below was refused or failed.
-        self.has_failed_below = False
+        self.has_failed_nested_call = False
         #: Whether the backend server's own answer says that it failed.
         self.has_failed = False
         #: Calls made below, over the whole tree.
-        self.calls_below = 0
+        self.nested_calls = 0
         #: Digests of the calls made so far.
         self.digests: set[str] = set()
-        self._tasks: set[asyncio.Task[object]] = set()
-        self._waiting_since: float | None = None
-        self._waited_s = 0.0
+        self._nested_tasks: set[asyncio.Task[object]] = set()
+        self._nested_since: float | None = None
+        self._nested_time_s = 0.0
 
-    def enter_child(self, now: float) -> None:
+    def begin_nested_call(self, now: float) -> None:
         """Note that a call below begins in the current task."""
         task = asyncio.current_task()
         if task is not None:
-            self._tasks.add(task)
-        if self._waiting_since is None:
-            self._waiting_since = now
+            self._nested_tasks.add(task)
+        if self._nested_since is None:
+            self._nested_since = now
 
-    def leave_child(self, now: float) -> None:
+    def end_nested_call(self, now: float) -> None:
         """Note that the call below in the current task has ended."""
         task = asyncio.current_task()
         if task is not None:
-            self._tasks.discard(task)
-        if not self._tasks and self._waiting_since is not None:
-            self._waited_s += now - self._waiting_since
-            self._waiting_since = None
+            self._nested_tasks.discard(task)
+        if not self._nested_tasks and self._nested_since is not None:
+            self._nested_time_s += now - self._nested_since
+            self._nested_since = None
 
-    def compute_own_time(self, held_s: float) -> float:
+    def compute_own_time(self, duration_s: float) -> float:
         """Return the time not spent waiting for calls below."""
-        return max(0.0, held_s - self._waited_s)
+        return max(0.0, duration_s - self._nested_time_s)
 
-    def cancel_children(self) -> None:
+    def cancel_nested_calls(self) -> None:
         """End the calls below."""
-        for task in tuple(self._tasks):
+        for task in tuple(self._nested_tasks):
             task.cancel()
 
 
-def name_sort(header: CallHeader) -> str:
+def get_call_class(header: CallHeader) -> str:
     """Name the sort of a call: calls of one sort take about as long."""
     return f'{header.kind} {header.depth}'
 
@@ -72,9 +72,9 @@
 class ContextTable:
     """Finds the parent of a call by the token that it carries."""
 
-    def __init__(self, dialect: Dialect, source: random.Random) -> None:
+    def __init__(self, dialect: Dialect, rng: random.Random) -> None:
         self._dialect = dialect
-        self._source = source
+        self._rng = rng
         self._parents: dict[str, ParentCall] = {}
 
     def __len__(self) -> int:
@@ -88,7 +88,7 @@
 
         :param headers: the headers that go to the backend server.
         """
-        token = self._dialect.create_token(headers, self._source)
+        token = self._dialect.create_token(headers, self._rng)
         parent = ParentCall(token, header, deadline)
         self._parents[token] = parent
         return parent
@@ -101,4 +101,4 @@
         """End a call and everything below it."""
         if self._parents.get(parent.token) is parent:
             del self._parents[parent.token]
-        parent.cancel_children()
+        parent.cancel_nested_calls()
--- a/merlintrail/node/_dispatch.py
+++ b/merlintrail/node/_dispatch.py
@@ -16,7 +16,7 @@
     Attempts,
     RetryDecision,
     RetryPolicy,
-    has_failed_there,
+    has_failed_in_backend,
 )
 from merlintrail.node._suspicions import Suspicions
 from merlintrail.observability import NodeMetrics, log_decision
@@ -45,7 +45,7 @@
 from merlintrail.transport import HttpResponse
 
 #: Reasons that say that a backend server takes nothing at present.
-_CLOSED: Final = frozenset(
+_UNAVAILABLE_REASONS: Final = frozenset(
     (
         Reason.DRAINING,
         Reason.PLANNED_STOP,
@@ -54,22 +54,22 @@
         Reason.STALE_INCARNATION,
     )
 )
-_FAILURES: Final = frozenset((Reason.PEER_LOST, Reason.BACKEND_LOST))
+_EJECTION_REASONS: Final = frozenset((Reason.PEER_LOST, Reason.BACKEND_LOST))
 #: Part of the allowed share of retries that is used, since requests are
 #: counted by each node as it sees them.
-SAFE_SHARE: Final = 0.8
+RETRY_SHARE_MARGIN: Final = 0.8
 #: Bytes of the headers of a call and its answer between nodes.
-HEADER_BYTES: Final = 900
+ESTIMATED_HEADER_BYTES: Final = 900
 _MS_PER_S: Final = 1000
 
 
-def _name_size(call: OutgoingCall) -> str:
+def _get_size_class(call: OutgoingCall) -> str:
     """Name the calls that are about as large as a call."""
     return call.kind if call.depth == 1 else call.service
 
 
 def _log_retry(
-    call: OutgoingCall, decision: RetryDecision, made: Attempts
+    call: OutgoingCall, decision: RetryDecision, attempts: Attempts
 ) -> None:
     log_decision(
         'retry',
@@ -77,8 +77,8 @@
         service=call.service,
         outcome='sent again' if decision.is_allowed else 'given up',
         decision=decision.value,
-        handed=made.handed,
-        redirects=made.redirects,
+        handed=attempts.delivered,
+        redirects=attempts.redirects,
         retries_left=call.account.balance,
     )
 
@@ -100,21 +100,21 @@
     holder: ConfigurationHolder
     routing: RoutingTable
     exchange: PeerExchange
-    gate: LocalGateway
+    gateway: LocalGateway
     metrics: NodeMetrics
     suspicions: Suspicions
     clock: Callable[[], float]
-    source: random.Random
+    rng: random.Random
 
 
 class Dispatcher:
     """Sends calls to backend servers of their service."""
 
-    def __init__(self, parts: DispatcherDependencies) -> None:
-        self._parts = parts
-        self._routing = parts.routing
-        self._clock = parts.clock
-        self._retries = RetryPolicy(parts.suspicions, parts.clock)
+    def __init__(self, dependencies: DispatcherDependencies) -> None:
+        self._deps = dependencies
+        self._routing = dependencies.routing
+        self._clock = dependencies.clock
+        self._retries = RetryPolicy(dependencies.suspicions, dependencies.clock)
         self._shedding = SheddingMemory()
         self._sizes = MessageSizes()
 
@@ -127,7 +127,7 @@
         """
         base = settings.base or 0.0
         self._retries.budgets.configure(
-            settings.share * SAFE_SHARE,
+            settings.share * RETRY_SHARE_MARGIN,
             base / settings.window_s / max(1, nodes),
         )
 
@@ -138,15 +138,17 @@
         while True:
             choice = self._find_target(call, progress.tried)
             if isinstance(choice, Refusal):
-                progress.take_refusal(choice, is_sent=False)
+                progress.record_refusal(choice, is_sent=False)
                 break
             progress.tried.append(choice.target.member.node_id)
             gateway_result = await self._attempt(call, choice)
             levels = self._list_levels(choice.target, gateway_result.report)
             progress.levels = merge_levels(progress.levels, levels)
             if call.depth == 1:
-                self._record_place(call, choice.target, gateway_result, levels)
-            progress.take(gateway_result)
+                self._record_data_centre(
+                    call, choice.target, gateway_result, levels
+                )
+            progress.record_attempt(gateway_result)
             if progress.answer is not None:
                 break
             decision = self._retries.decide(
@@ -155,12 +157,12 @@
             _log_retry(call, decision, progress.attempts)
             if not decision.is_allowed:
                 break
-            self._parts.metrics.record_retry(call.service)
+            self._deps.metrics.record_retry(call.service)
         return CallResult(
             progress.choose_answer(), progress.levels, progress.calls
         )
 
-    def _record_place(
+    def _record_data_centre(
         self,
         call: OutgoingCall,
         target: Target,
@@ -205,7 +207,7 @@
     def _choose(
         self, call: OutgoingCall, tried: list[str]
     ) -> Choice | NoTarget:
-        configuration = self._parts.holder.current
+        configuration = self._deps.holder.current
         service = configuration and configuration.services.get(call.service)
         warmup_s = service.warmup_s if service else 0.0
         demand = Demand(
@@ -214,7 +216,7 @@
             warmup_s,
             is_below=call.depth > 1,
             kind=call.kind,
-            size=self._sizes.read(_name_size(call)),
+            size=self._sizes.read(_get_size_class(call)),
         )
         choice = self._routing.choose(demand, tried)
         if isinstance(choice, Choice):
@@ -231,29 +233,29 @@
             )
         return choice
 
-    def _refuse(self, call: OutgoingCall, absence: NoTarget) -> Refusal:
+    def _refuse(self, call: OutgoingCall, no_target: NoTarget) -> Refusal:
         reason = Reason.NO_BACKEND_SERVER
-        if absence.is_shedding:
+        if no_target.is_shedding:
             reason = Reason.SHED_EARLY
-        self._parts.metrics.record_refusal(call.service, reason.value)
+        self._deps.metrics.record_refusal(call.service, reason.value)
         log_decision(
             'refuse',
             request_id=call.request_id,
             parent_id=call.parent_id,
             service=call.service,
             reason=reason.value,
-            detail=absence.reason,
-            shed_level=absence.level,
+            detail=no_target.reason,
+            shed_level=no_target.level,
             priority=call.priority,
         )
-        return Refusal(Outcome.NOT_RUN, reason, absence.reason)
+        return Refusal(Outcome.NOT_RUN, reason, no_target.reason)
 
     async def _attempt(
         self, call: OutgoingCall, choice: Choice
     ) -> GatewayResult:
         target = choice.target
-        share = call.account.lend()
-        header = self._build_header(call, target, share)
+        lent_retries = call.account.lend()
+        header = self._build_header(call, target, lent_retries)
         started_at = self._clock()
         target.in_flight += 1
         try:
@@ -264,13 +266,15 @@
         report = gateway_result.report
         if isinstance(gateway_result.answer, HttpResponse):
             size = len(call.body) + len(gateway_result.answer.body)
-            self._sizes.record(_name_size(call), size + HEADER_BYTES)
-        call.account.restore(share, report.retries)
+            self._sizes.record(
+                _get_size_class(call), size + ESTIMATED_HEADER_BYTES
+            )
+        call.account.restore(lent_retries, report.retries)
         if report.call_id:
             target.record_report(report, now - started_at, now)
-        self._parts.suspicions.take(report.suspicion)
-        self._count_failure(target, gateway_result.answer)
-        has_failed = has_failed_there(gateway_result)
+        self._deps.suspicions.take(report.suspicion)
+        self._record_failure(target, gateway_result.answer)
+        has_failed = has_failed_in_backend(gateway_result)
         if has_failed is not None:
             target.record_health(has_failed=has_failed, now=now)
         return gateway_result
@@ -278,10 +282,10 @@
     async def _send(
         self, call: OutgoingCall, header: CallHeader, choice: Choice
     ) -> GatewayResult:
-        if choice.target.member.node_id == self._parts.node_id:
-            return await self._parts.gate.handle_call(header, call)
+        if choice.target.member.node_id == self._deps.node_id:
+            return await self._deps.gateway.handle_call(header, call)
         target = choice.target
-        answer = await self._parts.exchange.send(
+        answer = await self._deps.exchange.send(
             target.member, header, call, target.latency_s
         )
         if choice.tier == Tier.REMOTE:
@@ -300,7 +304,7 @@
         pair = self._routing.find_region_pair(target.member)
         self._routing.links.spend(pair, self._clock(), sent)
 
-    def _count_failure(
+    def _record_failure(
         self, target: Target, answer: HttpResponse | Refusal
     ) -> None:
         """Leave a server that takes nothing; eject one that falls silent.
@@ -310,42 +314,42 @@
         """
         if isinstance(answer, HttpResponse):
             return
-        is_lone_loss = (
+        is_single_loss = (
             answer.reason == Reason.BACKEND_LOST
             and answer.outcome != Outcome.NOT_RUN
         )
-        if is_lone_loss:
+        if is_single_loss:
             return
-        if answer.reason in _CLOSED:
+        if answer.reason in _UNAVAILABLE_REASONS:
             target.pass_over(self._clock())
-        if answer.reason not in _FAILURES:
+        if answer.reason not in _EJECTION_REASONS:
             return
-        pause_s = self._routing.record_failure(target)
-        if pause_s:
+        ejection_s = self._routing.record_failure(target)
+        if ejection_s:
             log_decision(
                 'eject',
                 instance=target.member.node_id,
                 service=target.offer.service,
-                seconds=pause_s,
+                seconds=ejection_s,
                 reason=answer.reason.value,
             )
 
     def _build_header(
-        self, call: OutgoingCall, target: Target, share: int
+        self, call: OutgoingCall, target: Target, lent_retries: int
     ) -> CallHeader:
         return CallHeader(
             call.request_id,
-            create_id(self._parts.source),
+            create_id(self._deps.rng),
             call.kind,
             call.priority,
             call.is_idempotent,
             round((call.deadline - self._clock()) * _MS_PER_S, 1),
-            share,
+            lent_retries,
             call.depth,
             target.member.incarnation,
-            self._parts.node_id,
+            self._deps.node_id,
             call.service,
-            suspicion=self._parts.suspicions.find(call),
+            suspicion=self._deps.suspicions.find(call),
             caller_service=call.caller_service,
             objective_ms=call.objective_ms,
         )
--- a/merlintrail/node/_exchange.py
+++ b/merlintrail/node/_exchange.py
@@ -31,27 +31,27 @@
 )
 
 #: Seconds after which a call is asked for at the earliest.
-MIN_PATIENCE_S: Final = 0.15
+MIN_INQUIRY_DELAY_S: Final = 0.15
 #: Usual latencies after which a call is asked for.
-PATIENCE_FACTOR: Final = 4.0
+INQUIRY_DELAY_FACTOR: Final = 4.0
 #: Seconds to wait for the answer to an inquiry.
 INQUIRY_TIMEOUT_S: Final = 0.25
 #: Inquiries without any word after which the peer counts as lost.
-MAX_SILENT_INQUIRIES: Final = 3
+MAX_UNANSWERED_INQUIRIES: Final = 3
 #: Growth of the pause between inquiries about a running call.
-PAUSE_GROWTH: Final = 1.5
-MAX_PAUSE_S: Final = 2.0
+INQUIRY_BACKOFF_FACTOR: Final = 1.5
+MAX_INQUIRY_INTERVAL_S: Final = 2.0
 #: Subject of an inquiry.
 INQUIRY_SUBJECT: Final = 'inquiry'
 
 
-class _Watch:
+class _InquiryWatch:
     """Inquiries made while an exchange is still waiting."""
 
     def __init__(self) -> None:
         self.task: asyncio.Task[None] | None = None
         #: What they found.
-        self.verdict: HttpResponse | Refusal | None = None
+        self.result: HttpResponse | Refusal | None = None
 
 
 class PeerExchange:
@@ -78,34 +78,40 @@
         member: Member,
         header: CallHeader,
         call: OutgoingCall,
-        usual_s: float,
+        typical_latency_s: float,
     ) -> HttpResponse | Refusal:
         """Send a call and return the peer's answer or what became of it.
 
-        :param usual_s: usual latency of such calls in seconds.
+        :param typical_latency_s: usual latency of such calls in seconds.
         """
-        watch = _Watch()
+        watch = _InquiryWatch()
 
-        def start_watch(connection: ClientConnection) -> None:
+        def start_inquiries(connection: ClientConnection) -> None:
             watch.task = asyncio.create_task(
-                self._watch(member, header, call.deadline, watch, connection)
+                self._inquire_while_waiting(
+                    member, header, call.deadline, watch, connection
+                )
             )
 
         remaining_s = max(0.0, call.deadline - self._clock())
-        slow_s = max(MIN_PATIENCE_S, usual_s * PATIENCE_FACTOR)
-        patience = Patience(remaining_s, min(slow_s, remaining_s), start_watch)
+        inquiry_delay_s = max(
+            MIN_INQUIRY_DELAY_S, typical_latency_s * INQUIRY_DELAY_FACTOR
+        )
+        patience = Patience(
+            remaining_s, min(inquiry_delay_s, remaining_s), start_inquiries
+        )
         try:
             answer = await self._exchange(member, header, call, patience)
         finally:
             if watch.task is not None:
                 watch.task.cancel()
-        if watch.verdict is not None:
-            return watch.verdict
+        if watch.result is not None:
+            return watch.result
         if isinstance(answer, HttpResponse):
             return answer
         if answer.stage == FailureStage.CONNECT:
             return Refusal(Outcome.NOT_RUN, Reason.PEER_LOST, answer.reason)
-        return await self._resolve(member, header, call.deadline)
+        return await self._inquire_outcome(member, header, call.deadline)
 
     async def _exchange(
         self,
@@ -125,40 +131,44 @@
             patience=patience,
         )
 
-    async def _watch(
+    async def _inquire_while_waiting(
         self,
         member: Member,
         header: CallHeader,
         deadline: float,
-        watch: _Watch,
+        watch: _InquiryWatch,
         connection: ClientConnection,
     ) -> None:
         """Ask for a slow call until there is a verdict; then end the wait."""
-        watch.verdict = await self._resolve(member, header, deadline)
+        watch.result = await self._inquire_outcome(member, header, deadline)
         connection.give_up('ended by an inquiry')
 
-    async def _resolve(
+    async def _inquire_outcome(
         self, member: Member, header: CallHeader, deadline: float
     ) -> HttpResponse | Refusal:
         """Ask until the fate of the call is known or its deadline passes."""
-        pause_s = MIN_PATIENCE_S
-        silent = 0
-        while silent < MAX_SILENT_INQUIRIES:
+        interval_s = MIN_INQUIRY_DELAY_S
+        unanswered = 0
+        while unanswered < MAX_UNANSWERED_INQUIRIES:
             if self._clock() >= deadline:
                 return Refusal(Outcome.MAY_HAVE_RUN, Reason.DEADLINE_PASSED)
-            known = await self._inquire(member, header)
-            if known is None:
-                silent += 1
+            inquiry_answer = await self._inquire(member, header)
+            if inquiry_answer is None:
+                unanswered += 1
                 continue
-            silent = 0
-            verdict = self._judge(member, header, known)
-            if verdict is not None:
-                return verdict
+            unanswered = 0
+            result = self._classify_inquiry_answer(
+                member, header, inquiry_answer
+            )
+            if result is not None:
+                return result
             remaining_s = deadline - self._clock()
-            await asyncio.sleep(max(0.0, min(pause_s, remaining_s)))
-            if remaining_s <= pause_s:
+            await asyncio.sleep(max(0.0, min(interval_s, remaining_s)))
+            if remaining_s <= interval_s:
                 return Refusal(Outcome.MAY_HAVE_RUN, Reason.DEADLINE_PASSED)
-            pause_s = min(MAX_PAUSE_S, pause_s * PAUSE_GROWTH)
+            interval_s = min(
+                MAX_INQUIRY_INTERVAL_S, interval_s * INQUIRY_BACKOFF_FACTOR
+            )
         return Refusal(
             Outcome.MAY_HAVE_RUN, Reason.PEER_LOST, 'no word of the call'
         )
@@ -175,29 +185,38 @@
         )
         if isinstance(answer, TransportFailure):
             return None
-        known = decode_record(InquiryAnswer, answer)
-        return None if isinstance(known, DecodeFailure) else known
+        inquiry_answer = decode_record(InquiryAnswer, answer)
+        return (
+            None
+            if isinstance(inquiry_answer, DecodeFailure)
+            else inquiry_answer
+        )
 
-    def _judge(
-        self, member: Member, header: CallHeader, known: InquiryAnswer
+    def _classify_inquiry_answer(
+        self, member: Member, header: CallHeader, inquiry_answer: InquiryAnswer
     ) -> HttpResponse | Refusal | None:
-        if known.state == InquiryState.RUNNING:
+        if inquiry_answer.state == InquiryState.RUNNING:
             return None
-        dropped = self._pool.drop_idle(member.peer_address)
+        dropped_connections = self._pool.drop_idle(member.peer_address)
         log_decision(
             'inquiry',
             request_id=header.request_id,
             call_id=header.call_id,
             instance=member.node_id,
-            state=known.state,
-            dropped_connections=dropped,
+            state=inquiry_answer.state,
+            dropped_connections=dropped_connections,
         )
-        if known.state == InquiryState.TOMBSTONE:
+        if inquiry_answer.state == InquiryState.TOMBSTONE:
             return Refusal(Outcome.NOT_RUN, Reason.TOMBSTONE, 'never arrived')
-        if known.state == InquiryState.FINISHED and known.status:
+        if (
+            inquiry_answer.state == InquiryState.FINISHED
+            and inquiry_answer.status
+        ):
             return HttpResponse(
-                known.status,
-                [(name, text) for name, text in known.headers],
-                base64.b64decode(known.body),
+                inquiry_answer.status,
+                [(name, text) for name, text in inquiry_answer.headers],
+                base64.b64decode(inquiry_answer.body),
             )
-        return Refusal(Outcome.MAY_HAVE_RUN, Reason.PEER_LOST, known.state)
+        return Refusal(
+            Outcome.MAY_HAVE_RUN, Reason.PEER_LOST, inquiry_answer.state
+        )
--- a/merlintrail/node/_ingress.py
+++ b/merlintrail/node/_ingress.py
@@ -57,10 +57,10 @@
     find_own_service: Callable[[], str]
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
-    source: random.Random
+    rng: random.Random
 
 
-class _Arrival(NamedTuple):
+class _ReceivedRequest(NamedTuple):
     """A request that is being served."""
 
     request: HttpRequest
@@ -71,11 +71,11 @@
 class Ingress:
     """Serves one request from its arrival to its answer."""
 
-    def __init__(self, parts: IngressDependencies) -> None:
-        self._parts = parts
-        self._clock = parts.clock
-        self._resolver = Resolver(parts.source)
-        self._refused = RefusedRequests()
+    def __init__(self, dependencies: IngressDependencies) -> None:
+        self._deps = dependencies
+        self._clock = dependencies.clock
+        self._resolver = Resolver(dependencies.rng)
+        self._refused_requests = RefusedRequests()
         #: Requests in progress.
         self.running = 0
         #: Whether callers are refused; the backend server's calls are not.
@@ -84,16 +84,16 @@
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Serve a request of a caller or of the own backend server."""
         started_at = self._clock()
-        headers = self._parts.dialect.read_caller(request)
-        request_id = headers.request_id or create_id(self._parts.source)
-        arrival = _Arrival(request, request_id, headers)
-        resolution = self._resolve(arrival)
+        headers = self._deps.dialect.read_caller(request)
+        request_id = headers.request_id or create_id(self._deps.rng)
+        received = _ReceivedRequest(request, request_id, headers)
+        resolution = self._resolve(received)
         self.running += 1
         try:
             answer = (
                 resolution
                 if isinstance(resolution, Refusal)
-                else await self._serve(arrival, resolution)
+                else await self._serve(received, resolution)
             )
         finally:
             self.running -= 1
@@ -106,128 +106,130 @@
                 status=response.status,
                 duration_ms=round(duration_s * _MS_PER_S, 1),
             )
-        self._parts.metrics.record_request(
+        self._deps.metrics.record_request(
             '' if isinstance(resolution, Refusal) else resolution.service,
             response.status,
             duration_s,
         )
         return response
 
-    def _resolve(self, arrival: _Arrival) -> Resolution | Refusal:
-        refusal = self._check(arrival)
+    def _resolve(self, received: _ReceivedRequest) -> Resolution | Refusal:
+        refusal = self._check_request(received)
         if refusal is None:
-            configuration = self._parts.holder.current
+            configuration = self._deps.holder.current
             assert configuration is not None
-            resolution = self._resolver.resolve(arrival.request, configuration)
+            resolution = self._resolver.resolve(received.request, configuration)
             if isinstance(resolution, Resolution):
                 return resolution
             refusal = resolution
-        self._log_refusal(arrival.request_id, arrival.request.target, refusal)
-        return self._say_when(refusal, None)
+        self._log_refusal(received.request_id, received.request.target, refusal)
+        return self._set_retry_after(refusal, None)
 
     async def _serve(
-        self, arrival: _Arrival, resolution: Resolution
+        self, received: _ReceivedRequest, resolution: Resolution
     ) -> HttpResponse | Refusal:
-        headers = arrival.headers
+        headers = received.headers
         parent: ParentCall | None = None
         if headers.context is not None:
-            parent = self._parts.contexts.find(headers.context)
+            parent = self._deps.contexts.find(headers.context)
         if parent is not None:
-            call = self._build_child(arrival, resolution, parent)
-            return await self._serve_child(call, parent)
+            call = self._build_nested_call(received, resolution, parent)
+            return await self._serve_nested_call(call, parent)
         if headers.context is not None and headers.is_context_certain:
             return Refusal(
                 Outcome.NOT_RUN,
                 Reason.UNKNOWN_CONTEXT,
                 'the context header is not one of a running call',
             )
-        return await self._serve_caller(self._build_call(arrival, resolution))
+        return await self._serve_caller(self._build_call(received, resolution))
 
     async def _serve_caller(self, call: OutgoingCall) -> HttpResponse | Refusal:
         refusal = self._check_caller(call)
         if refusal is not None:
             self._log_refusal(call.request_id, call.kind, refusal)
-            return self._say_when(refusal, call.objective_ms)
-        if self._refused and self._refused.take(
+            return self._set_retry_after(refusal, call.objective_ms)
+        if self._refused_requests and self._refused_requests.take(
             compute_call_digest(call), self._clock()
         ):
             call = call._replace(priority=raise_priority(call.priority))
         call_result = await self._send(call)
         answer = call_result.answer
         if isinstance(answer, Refusal) and answer.outcome == Outcome.NOT_RUN:
-            self._refused.record(compute_call_digest(call), self._clock())
-            return self._say_when(answer, call.objective_ms)
+            self._refused_requests.record(
+                compute_call_digest(call), self._clock()
+            )
+            return self._set_retry_after(answer, call.objective_ms)
         return answer
 
-    def _say_when(
+    def _set_retry_after(
         self, refusal: Refusal, objective_ms: float | None
     ) -> Refusal:
         """Tell a refused caller when to come back."""
         pause_s = compute_pause(
             refusal.retry_after_s,
             None if objective_ms is None else objective_ms / _MS_PER_S,
-            self._parts.source.random(),
+            self._deps.rng.random(),
         )
         return refusal._replace(retry_after_s=pause_s)
 
     def _check_caller(self, call: OutgoingCall) -> Refusal | None:
-        configuration = self._parts.holder.current
+        configuration = self._deps.holder.current
         assert configuration is not None
         if self.is_closed:
             return Refusal(Outcome.NOT_RUN, Reason.DRAINING)
-        wall_time = self._parts.wall_clock()
+        wall_time = self._deps.wall_clock()
         stop = find_stop(
             configuration,
-            self._parts.instance,
-            self._parts.data_centre,
+            self._deps.instance,
+            self._deps.data_centre,
             wall_time,
         )
         remaining_s = call.deadline - self._clock()
         if outlasts_start(stop, wall_time, remaining_s):
             return Refusal(Outcome.NOT_RUN, Reason.PLANNED_STOP)
-        if self._parts.suspicions.is_convicted(call):
+        if self._deps.suspicions.is_convicted(call):
             return Refusal(Outcome.NOT_RUN, Reason.QUARANTINED)
         return None
 
-    async def _serve_child(
+    async def _serve_nested_call(
         self, call: OutgoingCall, parent: ParentCall
     ) -> HttpResponse | Refusal:
-        refusal = self._check_child(call, parent)
+        refusal = self._check_nested_call(call, parent)
         if refusal is not None:
-            parent.has_failed_below = True
+            parent.has_failed_nested_call = True
             self._log_refusal(call.request_id, call.kind, refusal)
             return refusal
-        share = parent.account.lend()
-        child = call._replace(account=RetryAccount(share))
-        parent.enter_child(self._clock())
+        lent_retries = parent.account.lend()
+        nested_call = call._replace(account=RetryAccount(lent_retries))
+        parent.begin_nested_call(self._clock())
         try:
-            call_result = await self._send(child)
+            call_result = await self._send(nested_call)
         finally:
-            parent.leave_child(self._clock())
-        parent.account.restore(share, child.account.balance)
-        parent.calls_below += call_result.calls
+            parent.end_nested_call(self._clock())
+        parent.account.restore(lent_retries, nested_call.account.balance)
+        parent.nested_calls += call_result.calls
         parent.path_levels = merge_levels(
             parent.path_levels, call_result.path_levels
         )
         if isinstance(call_result.answer, Refusal):
-            parent.has_failed_below = True
+            parent.has_failed_nested_call = True
         return call_result.answer
 
     async def _send(self, call: OutgoingCall) -> CallResult:
         if call.key is not None and not call.is_idempotent:
-            return await self._parts.keyed.execute(call)
-        return await self._parts.dispatcher.dispatch(call)
+            return await self._deps.keyed.execute(call)
+        return await self._deps.dispatcher.dispatch(call)
 
-    def _check(self, arrival: _Arrival) -> Refusal | None:
-        findings = list(arrival.headers.findings)
-        method = arrival.request.method
+    def _check_request(self, received: _ReceivedRequest) -> Refusal | None:
+        findings = list(received.headers.findings)
+        method = received.request.method
         if method in _UNSUPPORTED_METHODS:
             findings.append(f'method {method} is not supported')
         if findings:
             return Refusal(
                 Outcome.NOT_RUN, Reason.BAD_REQUEST, '; '.join(findings)
             )
-        if self._parts.holder.current is None:
+        if self._deps.holder.current is None:
             return Refusal(
                 Outcome.NOT_RUN,
                 Reason.NO_CONFIGURATION,
@@ -235,7 +237,7 @@
             )
         return None
 
-    def _check_child(
+    def _check_nested_call(
         self, call: OutgoingCall, parent: ParentCall
     ) -> Refusal | None:
         if call.depth > MAX_DEPTH:
@@ -254,46 +256,49 @@
         return None
 
     def _build_call(
-        self, arrival: _Arrival, resolution: Resolution
+        self, received: _ReceivedRequest, resolution: Resolution
     ) -> OutgoingCall:
         kind = resolution.kind
-        request = arrival.request
+        request = received.request
         deadline_ms = min(
-            arrival.headers.deadline_ms or kind.deadline_ms, kind.deadline_ms
+            received.headers.deadline_ms or kind.deadline_ms, kind.deadline_ms
         )
         return OutgoingCall(
-            arrival.request_id,
+            received.request_id,
             kind.full_name,
             resolution.service,
             request.method,
             resolution.target,
-            self._parts.dialect.list_forwarded(request),
+            self._deps.dialect.list_forwarded(request),
             request.body,
-            compute_priority(kind.importance, arrival.request_id),
+            compute_priority(kind.importance, received.request_id),
             kind.is_idempotent,
             self._clock() + deadline_ms / _MS_PER_S,
             RetryAccount(kind.retries),
             1,
-            arrival.headers.key,
-            self._parts.find_own_service(),
+            received.headers.key,
+            self._deps.find_own_service(),
             kind.objective_ms,
             kind.attempts,
         )
 
-    def _build_child(
-        self, arrival: _Arrival, resolution: Resolution, parent: ParentCall
+    def _build_nested_call(
+        self,
+        received: _ReceivedRequest,
+        resolution: Resolution,
+        parent: ParentCall,
     ) -> OutgoingCall:
         """Build a call below another, whose terms it inherits.
 
         A route states by itself what may be repeated; without routes a call
         below a non-idempotent one is not repeated either.
         """
-        call = self._build_call(arrival, resolution)
+        call = self._build_call(received, resolution)
         is_idempotent = call.is_idempotent and (
             resolution.is_routed or parent.header.is_idempotent
         )
         parent_id = parent.header.request_id
-        request_id = arrival.headers.request_id or parent_id
+        request_id = received.headers.request_id or parent_id
         return call._replace(
             request_id=request_id,
             parent_id=None if parent_id == request_id else parent_id,
@@ -308,7 +313,7 @@
     def _build_response(
         self, answer: HttpResponse | Refusal, request_id: str
     ) -> HttpResponse:
-        dialect = self._parts.dialect
+        dialect = self._deps.dialect
         if not isinstance(answer, Refusal):
             return dialect.build_answer(answer, request_id)
         return dialect.build_refusal(answer, request_id)
@@ -319,7 +324,7 @@
         kind: str,
         refusal: Refusal,
     ) -> None:
-        self._parts.metrics.record_refusal('', refusal.reason.value)
+        self._deps.metrics.record_refusal('', refusal.reason.value)
         log_decision(
             'refuse',
             request_id=request_id,
--- a/merlintrail/node/_keyed.py
+++ b/merlintrail/node/_keyed.py
@@ -45,15 +45,17 @@
 from merlintrail.transport import HttpResponse, TransportFailure
 
 #: Owners of a slot that are tried one after the other.
-MAX_OWNERS: Final = 3
+MAX_OWNER_ATTEMPTS: Final = 3
 #: Seconds between tries while a slot moves.
-MOVE_PAUSE_S: Final = 0.05
+OWNER_RETRY_DELAY_S: Final = 0.05
 #: Seconds to wait for an earlier owner's word.
 RECALL_TIMEOUT_S: Final = 0.5
 #: Seconds that a call to the owner of a slot usually takes.
-USUAL_S: Final = 0.25
+TYPICAL_LATENCY_S: Final = 0.25
 _MS_PER_S: Final = 1000
-_MOVED: Final = frozenset((Reason.LEDGER_MOVED, Reason.PEER_LOST))
+_OWNER_CHANGED_REASONS: Final = frozenset(
+    (Reason.LEDGER_MOVED, Reason.PEER_LOST)
+)
 
 
 class KeyedCallsDependencies(NamedTuple):
@@ -67,17 +69,17 @@
     peers: PeerClient
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
-    source: random.Random
+    rng: random.Random
 
 
 class KeyedCalls:
     """Runs keyed calls through the ledger."""
 
-    def __init__(self, parts: KeyedCallsDependencies) -> None:
-        self._parts = parts
+    def __init__(self, dependencies: KeyedCallsDependencies) -> None:
+        self._deps = dependencies
         self._ledger: Ledger | None = None
         self._owners: dict[int, Member | None] = {}
-        self._owners_basis = (0, 0)
+        self._owners_version = (0, 0)
 
     @property
     def ledger(self) -> Ledger:
@@ -91,16 +93,16 @@
 
     async def execute(self, call: OutgoingCall) -> CallResult:
         """Run a keyed call at the owner of its slot."""
-        configuration = self._parts.holder.current
+        configuration = self._deps.holder.current
         assert configuration is not None
         refusal = self._check_key(call, configuration)
         if refusal is not None:
             return CallResult(refusal, {})
-        for attempt in range(MAX_OWNERS):
+        for attempt in range(MAX_OWNER_ATTEMPTS):
             call_result = await self._execute_once(call, configuration)
-            if not self._may_try_next(call, call_result, attempt):
+            if not self._may_retry_owner(call, call_result, attempt):
                 break
-            await asyncio.sleep(MOVE_PAUSE_S * (attempt + 1))
+            await asyncio.sleep(OWNER_RETRY_DELAY_S * (attempt + 1))
         return call_result
 
     async def execute_here(self, call: OutgoingCall) -> CallResult:
@@ -109,13 +111,13 @@
         The request goes on after its caller's deadline, until that of its
         kind, so that a resend gets the answer.
         """
-        levels: dict[str, int] = {}
+        path_levels: dict[str, int] = {}
 
         async def run() -> HttpResponse | Refusal:
-            call_result = await self._parts.dispatcher.dispatch(
+            call_result = await self._deps.dispatcher.dispatch(
                 self._extend_deadline(call)
             )
-            levels.update(call_result.path_levels)
+            path_levels.update(call_result.path_levels)
             return call_result.answer
 
         request = KeyedRequest(
@@ -123,13 +125,13 @@
             compute_call_digest(call),
             run,
         )
-        remaining_s = call.deadline - self._parts.clock()
+        remaining_s = call.deadline - self._deps.clock()
         try:
             async with asyncio.timeout(remaining_s):
                 answer = await self.ledger.execute(request)
         except TimeoutError:
             answer = Refusal(Outcome.MAY_HAVE_RUN, Reason.DEADLINE_PASSED)
-        return CallResult(answer, levels)
+        return CallResult(answer, path_levels)
 
     async def handle_peer_call(
         self, header: CallHeader, call: OutgoingCall
@@ -153,10 +155,10 @@
 
     async def recall(self, record: KeyRecord) -> HttpResponse | Refusal | None:
         """Ask an earlier owner for the answer to a key."""
-        member = self._parts.table.find(record.owner)
+        member = self._deps.table.find(record.owner)
         if member is None or member.is_gone:
             return None
-        answer = await self._parts.peers.ask(
+        answer = await self._deps.peers.ask(
             member.peer_address,
             'recall',
             {'key': record.key},
@@ -164,19 +166,19 @@
         )
         if isinstance(answer, TransportFailure) or not answer:
             return None
-        return _read_recalled(answer)
+        return _decode_recalled_answer(answer)
 
     def handle_recall(self, document: dict[str, Any]) -> object:
         """Tell another owner the answer to a key, if it is known here."""
-        known = self.ledger.find_answer(str(document.get('key')))
-        if known is None:
+        answer = self.ledger.find_answer(str(document.get('key')))
+        if answer is None:
             return None
-        if isinstance(known, Refusal):
-            return {'outcome': known.outcome, 'reason': known.reason}
+        if isinstance(answer, Refusal):
+            return {'outcome': answer.outcome, 'reason': answer.reason}
         return {
-            'status': known.status,
-            'headers': known.headers,
-            'body': base64.b64encode(known.body).decode(),
+            'status': answer.status,
+            'headers': answer.headers,
+            'body': base64.b64encode(answer.body).decode(),
         }
 
     async def _execute_once(
@@ -196,7 +198,7 @@
             slot=slot,
             instance=owner.node_id,
         )
-        if owner.node_id == self._parts.node_id:
+        if owner.node_id == self._deps.node_id:
             return await self.execute_here(call)
         return await self._send_to_owner(call, owner)
 
@@ -204,50 +206,55 @@
         self, configuration: Configuration, slot: int
     ) -> Member | None:
         """Find the owner of a slot, anew only when something changed."""
-        basis = (self._parts.table.digest, configuration.generation)
-        if basis != self._owners_basis:
-            self._owners_basis = basis
+        version = (self._deps.table.digest, configuration.generation)
+        if version != self._owners_version:
+            self._owners_version = version
             self._owners.clear()
         if slot not in self._owners:
             self._owners[slot] = find_slot_owner(
-                self._parts.table, configuration, slot
+                self._deps.table, configuration, slot
             )
         return self._owners[slot]
 
     async def _send_to_owner(
         self, call: OutgoingCall, owner: Member
     ) -> CallResult:
-        share = call.account.lend_all()
-        remaining_s = call.deadline - self._parts.clock()
+        lent_retries = call.account.lend_all()
+        remaining_s = call.deadline - self._deps.clock()
         header = CallHeader(
             call.request_id,
-            create_id(self._parts.source),
+            create_id(self._deps.rng),
             call.kind,
             call.priority,
             call.is_idempotent,
             remaining_s * _MS_PER_S,
-            share,
+            lent_retries,
             call.depth,
             owner.incarnation,
-            self._parts.node_id,
+            self._deps.node_id,
             call.service,
             call.key,
         )
-        answer = await self._parts.exchange.send(owner, header, call, USUAL_S)
+        answer = await self._deps.exchange.send(
+            owner, header, call, TYPICAL_LATENCY_S
+        )
         gateway_result = read_peer_answer(header, answer)
-        call.account.restore(share, gateway_result.report.retries)
+        call.account.restore(lent_retries, gateway_result.report.retries)
         return CallResult(
             gateway_result.answer, gateway_result.report.path_levels
         )
 
-    def _may_try_next(
+    def _may_retry_owner(
         self, call: OutgoingCall, call_result: CallResult, attempt: int
     ) -> bool:
         answer = call_result.answer
-        if isinstance(answer, HttpResponse) or attempt + 1 >= MAX_OWNERS:
+        if (
+            isinstance(answer, HttpResponse)
+            or attempt + 1 >= MAX_OWNER_ATTEMPTS
+        ):
             return False
-        is_moved = answer.reason in _MOVED
-        if not is_moved or answer.outcome != Outcome.NOT_RUN:
+        is_owner_changed = answer.reason in _OWNER_CHANGED_REASONS
+        if not is_owner_changed or answer.outcome != Outcome.NOT_RUN:
             return False
         return call.account.spend()
 
@@ -256,30 +263,30 @@
     ) -> Refusal | None:
         assert call.key is not None
         return check_key_age(
-            call.key, configuration.ledger, self._parts.wall_clock()
+            call.key, configuration.ledger, self._deps.wall_clock()
         )
 
     def _extend_deadline(self, call: OutgoingCall) -> OutgoingCall:
-        configuration = self._parts.holder.current
+        configuration = self._deps.holder.current
         service = configuration and configuration.services.get(call.service)
         if not service:
             return call
         kind = service.find_kind(call.method, call.target.partition('?')[0])
-        latest = self._parts.clock() + kind.deadline_ms / _MS_PER_S
+        latest_deadline = self._deps.clock() + kind.deadline_ms / _MS_PER_S
         account = RetryAccount(call.account.lend_all())
         return call._replace(
-            deadline=max(call.deadline, latest), account=account
+            deadline=max(call.deadline, latest_deadline), account=account
         )
 
 
 def _scope_key(call: OutgoingCall) -> str:
     """Return the key as the ledger records it."""
-    scoped = f'{call.service}\n{call.key}'
-    digest: str = xxhash.xxh3_128_hexdigest(scoped.encode())
+    scoped_key = f'{call.service}\n{call.key}'
+    digest: str = xxhash.xxh3_128_hexdigest(scoped_key.encode())
     return digest
 
 
-def _read_recalled(answer: dict[str, Any]) -> HttpResponse | Refusal:
+def _decode_recalled_answer(answer: dict[str, Any]) -> HttpResponse | Refusal:
     if 'outcome' in answer:
         return Refusal(Outcome(answer['outcome']), Reason(answer['reason']))
     return HttpResponse(
--- a/merlintrail/node/_progress.py
+++ b/merlintrail/node/_progress.py
@@ -23,13 +23,13 @@
         self._failed: HttpResponse | None = None
         self._refusal: Refusal | None = None
 
-    def take(self, gateway_result: GatewayResult) -> None:
+    def record_attempt(self, gateway_result: GatewayResult) -> None:
         """Take what came of an attempt."""
         answer = gateway_result.answer
         self.attempts = self.attempts.add(gateway_result)
         self.calls += 1 + gateway_result.report.calls_below
         if isinstance(answer, Refusal):
-            self.take_refusal(answer, is_sent=True)
+            self.record_refusal(answer, is_sent=True)
             if answer.reason == Reason.TOMBSTONE:
                 # The peer is well, only its old connections were not.
                 self.tried.pop()
@@ -38,7 +38,7 @@
         else:
             self.answer = answer
 
-    def take_refusal(self, refusal: Refusal, *, is_sent: bool) -> None:
+    def record_refusal(self, refusal: Refusal, *, is_sent: bool) -> None:
         """Take a refusal, of an attempt or of the choice of a server."""
         self._refusal = combine_refusals(
             self._refusal, refusal, is_sent=is_sent
--- a/merlintrail/node/_resolution.py
+++ b/merlintrail/node/_resolution.py
@@ -40,17 +40,17 @@
     match = _TARGET.match(target)
     if match is None:
         return None
-    rest = match.group(2) or '/'
-    if rest.startswith('?'):
-        rest = f'/{rest}'
-    return ServiceTarget(match.group(1), rest)
+    path_and_query = match.group(2) or '/'
+    if path_and_query.startswith('?'):
+        path_and_query = f'/{path_and_query}'
+    return ServiceTarget(match.group(1), path_and_query)
 
 
 class Resolver:
     """Resolves requests by routes, or by the service that the path names."""
 
-    def __init__(self, source: random.Random) -> None:
-        self._source = source
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._splitter = RouteSplitter()
 
     def resolve(
@@ -74,7 +74,7 @@
                 f'no route for {path!r} at host {host!r} in generation '
                 f'{configuration.generation}',
             )
-        service = self._splitter.choose(route, self._source.random())
+        service = self._splitter.choose(route, self._rng.random())
         return Resolution(
             service,
             request.target,
--- a/merlintrail/node/_retry_policy.py
+++ b/merlintrail/node/_retry_policy.py
@@ -19,7 +19,7 @@
 #: Further nodes that a call is sent to before a backend server takes it.
 MAX_REDIRECTS: Final = 2
 #: Reasons after which another backend server may do better.
-_ELSEWHERE: Final = frozenset(
+_RETRYABLE_REASONS: Final = frozenset(
     (
         Reason.OVERLOAD,
         Reason.DEADLINE,
@@ -37,14 +37,16 @@
     )
 )
 #: Reasons of calls that a backend server was handed and did not run.
-_HANDED: Final = frozenset((Reason.BACKEND_REFUSED, Reason.BACKEND_DISPLACED))
+_BACKEND_REJECTIONS: Final = frozenset(
+    (Reason.BACKEND_REFUSED, Reason.BACKEND_DISPLACED)
+)
 
 
 class Attempts(NamedTuple):
     """Attempts that were made of one call."""
 
     #: Those in which a backend server was handed the call, or may have been.
-    handed: int = 0
+    delivered: int = 0
     #: Those in which none was.
     redirects: int = 0
 
@@ -52,10 +54,10 @@
         """Count one more attempt."""
         answer = gateway_result.answer
         if isinstance(answer, Refusal):
-            is_proved = answer.outcome == Outcome.NOT_RUN
-            if is_proved and answer.reason not in _HANDED:
+            is_proven_not_run = answer.outcome == Outcome.NOT_RUN
+            if is_proven_not_run and answer.reason not in _BACKEND_REJECTIONS:
                 return self._replace(redirects=self.redirects + 1)
-        return self._replace(handed=self.handed + 1)
+        return self._replace(delivered=self.delivered + 1)
 
 
 class RetryDecision(enum.StrEnum):
@@ -104,7 +106,10 @@
         self.budgets.find(call.service).record_attempt()
 
     def decide(
-        self, call: OutgoingCall, gateway_result: GatewayResult, made: Attempts
+        self,
+        call: OutgoingCall,
+        gateway_result: GatewayResult,
+        attempts: Attempts,
     ) -> RetryDecision:
         """Decide whether to send a call again, and take what that costs."""
         is_hopeless = (
@@ -116,21 +121,23 @@
             return RetryDecision.HOPELESS
         answer = gateway_result.answer
         cost = 1.0 + gateway_result.report.calls_below
-        has_attempt = call.attempts is None or made.handed < call.attempts
-        is_proved = False
+        has_attempt_left = (
+            call.max_attempts is None or attempts.delivered < call.max_attempts
+        )
+        is_proven_not_run = False
         if isinstance(answer, Refusal):
-            if answer.reason not in _ELSEWHERE:
+            if answer.reason not in _RETRYABLE_REASONS:
                 return RetryDecision.FINAL
-            is_proved = answer.outcome == Outcome.NOT_RUN
-            if is_proved and answer.reason not in _HANDED:
-                return _decide_redirect(made)
-        if not (is_proved or call.is_idempotent):
+            is_proven_not_run = answer.outcome == Outcome.NOT_RUN
+            if is_proven_not_run and answer.reason not in _BACKEND_REJECTIONS:
+                return _decide_redirect(attempts)
+        if not (is_proven_not_run or call.is_idempotent):
             return RetryDecision.NOT_IDEMPOTENT
-        if not has_attempt:
+        if not has_attempt_left:
             return RetryDecision.NO_ATTEMPT_LEFT
-        return self._take_retry(call, cost)
+        return self._spend_retry(call, cost)
 
-    def _take_retry(self, call: OutgoingCall, cost: float) -> RetryDecision:
+    def _spend_retry(self, call: OutgoingCall, cost: float) -> RetryDecision:
         """Take a retry that will make about as many calls as before."""
         if not call.account.spend():
             return RetryDecision.ACCOUNT_EMPTY
@@ -142,13 +149,13 @@
         return RetryDecision.BUDGET_EMPTY
 
 
-def _decide_redirect(made: Attempts) -> RetryDecision:
-    if made.redirects <= MAX_REDIRECTS:
+def _decide_redirect(attempts: Attempts) -> RetryDecision:
+    if attempts.redirects <= MAX_REDIRECTS:
         return RetryDecision.REDIRECT
     return RetryDecision.NO_ATTEMPT_LEFT
 
 
-def has_failed_there(gateway_result: GatewayResult) -> bool | None:
+def has_failed_in_backend(gateway_result: GatewayResult) -> bool | None:
     """Tell whether a call failed in its backend server.
 
     :returns: ``None`` when the attempt tells nothing about it.
@@ -156,10 +163,10 @@
     answer = gateway_result.answer
     report = gateway_result.report
     if isinstance(answer, HttpResponse):
-        is_own = report.may_retry
-        return is_own if report.is_failure else False
-    return True if _is_own_failure(answer) else None
+        is_own_failure = report.may_retry
+        return is_own_failure if report.is_failure else False
+    return True if _is_backend_failure(answer) else None
 
 
-def _is_own_failure(refusal: Refusal) -> bool:
+def _is_backend_failure(refusal: Refusal) -> bool:
     return refusal.reason in {Reason.BACKEND_REFUSED, Reason.BACKEND_LOST}
