--- a/merlintrail/node/_answers.py
+++ b/merlintrail/node/_answers.py
@@ -1,4 +1,4 @@
-"""Answers of other nodes, read and combined."""
+"""Reading the answers of other nodes and combining refusals."""
 
 from merlintrail.node._calls import GatewayResult
 from merlintrail.protocol import (
@@ -20,9 +20,10 @@
 ) -> Refusal:
     """Combine the refusals of two attempts of one call.
 
-    ``not-run`` is told only when it holds for every attempt.
+    The outcome is ``not-run`` only if it holds for every attempt.
 
-    :param is_sent: whether the later one comes from another attempt.
+    :param is_sent: whether the later refusal comes from an attempt that was
+        sent, rather than from the choice of a target.
     """
     if earlier is None:
         return later
@@ -36,7 +37,7 @@
 def read_peer_answer(
     header: CallHeader, answer: HttpResponse | Refusal
 ) -> GatewayResult:
-    """Read what a peer answered, with the report that came along."""
+    """Decode the answer of a peer and its report."""
     if isinstance(answer, Refusal):
         returned_retries = (
             header.retries if answer.outcome == Outcome.NOT_RUN else 0
@@ -69,7 +70,7 @@
 def _build_missing_report(
     refusal: Refusal, returned_retries: int
 ) -> CallReport:
-    """Build the report of a call that brought none."""
+    """Build the report of an attempt that returned none."""
     return CallReport(
         call_id='',
         outcome=refusal.outcome.value,
--- a/merlintrail/node/_backend_exchange.py
+++ b/merlintrail/node/_backend_exchange.py
@@ -1,4 +1,4 @@
-"""Running a call in a backend server, and judging what came of it."""
+"""Running a call in a backend server and classifying its answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,14 +29,14 @@
 
 
 class BackendExchangeDependencies(NamedTuple):
-    """What exchanges with backend servers need."""
+    """Dependencies of :class:`BackendExchange`."""
 
     node_id: str
     pool: ConnectionPool
     dialect: Dialect
     suspicions: Suspicions
     clock: Callable[[], float]
-    #: Told when a backend server's readiness changes.
+    #: Called when the readiness of a backend server changes.
     on_change: Callable[[], None]
 
 
@@ -52,7 +52,7 @@
     async def run(
         self, gate: Gate, call: OutgoingCall, parent: ParentCall
     ) -> HttpResponse | Refusal:
-        """Run a call that was admitted."""
+        """Run an admitted call and return its answer, or why there is none."""
         started_at = self._clock()
         backend = gate.backend
         header = parent.header
--- a/merlintrail/node/_backend_gateway.py
+++ b/merlintrail/node/_backend_gateway.py
@@ -1,4 +1,4 @@
-"""Admission to the backend servers beside this node, and running calls."""
+"""Gateway to the backend servers beside a node."""
 
 import asyncio
 from collections.abc import Callable
@@ -39,7 +39,7 @@
 
 
 class GatewayDependencies(NamedTuple):
-    """What a gatekeeper is made with."""
+    """Dependencies of :class:`BackendGateway`."""
 
     node_id: str
     incarnation: int
@@ -55,42 +55,45 @@
 
 
 class BackendGateway:
-    """Runs calls in the backend servers beside this node."""
+    """Admits calls to the backend servers beside this node and runs them.
+
+    Each call runs at most once; its answer is kept for inquiries.
+    """
 
     def __init__(self, dependencies: GatewayDependencies) -> None:
         self._deps = dependencies
         self._clock = dependencies.clock
         self._tasks: set[asyncio.Task[Any]] = set()
         self.registry = dependencies.registry
-        #: Gates by service.
+        #: Backend servers with their admission, by service.
         self.gates = dependencies.registry.gates
-        #: The next planned stop of this instance.
+        #: Next planned stop of this instance, if any.
         self.planned_stop: PlannedStop | None = None
-        #: Whether this node no longer takes calls.
+        #: Whether this node is draining and refuses new calls.
         self.is_draining = False
 
     @property
     def running(self) -> int:
-        """Calls in the backend servers or queued for them."""
+        """Number of calls in the backend servers or queued for them."""
         return sum(
             gate.admission.running + gate.admission.queued
             for gate in self.gates.values()
         )
 
     def update_configuration(self, configuration: Configuration) -> None:
-        """Take a new configuration."""
+        """Apply a new configuration."""
         self._deps.suspicions.expiry_s = configuration.quarantine_expiry_s
         self.registry.update_configuration(configuration)
 
     async def refresh_hints(self) -> None:
-        """Look at the endpoints of every backend server."""
+        """Poll the health and load endpoints of every backend server."""
         for gate in tuple(self.gates.values()):
             await self._deps.exchange.prober.read_hints(gate.backend)
 
     async def handle_call(
         self, header: CallHeader, call: OutgoingCall
     ) -> GatewayResult:
-        """Run a call, once, and keep its answer for inquiries."""
+        """Run a call at most once and keep its answer for inquiries."""
         state = self._deps.calls.begin(header.call_id)
         if state is not None:
             return self._refuse_seen_call(header, state)
@@ -157,7 +160,10 @@
     async def _wait_for_completion(
         self, running: 'asyncio.Task[HttpResponse | Refusal]'
     ) -> HttpResponse | Refusal:
-        """Let a non-idempotent call end even when its caller has gone."""
+        """Wait until a non-idempotent call ends, even when cancelled.
+
+        It is not interrupted when its sender disconnects.
+        """
         try:
             return await asyncio.shield(running)
         except asyncio.CancelledError:
@@ -184,7 +190,7 @@
     def _refuse_seen_call(
         self, header: CallHeader, state: InquiryState
     ) -> GatewayResult:
-        """Refuse a call that was seen already, or that came too late."""
+        """Refuse a duplicate, or a call that an inquiry has tombstoned."""
         if state in _STARTED_STATES:
             refusal = Refusal(Outcome.MAY_HAVE_RUN, Reason.DUPLICATE_CALL)
         else:
@@ -252,7 +258,7 @@
         )
 
     def _log_cancellation(self, header: CallHeader, deadline: float) -> None:
-        """Tell that whoever sent the call no longer waits for it."""
+        """Log that the sender of a call no longer waits for it."""
         remaining_s = deadline - self._clock()
         log_decision(
             'cancel',
--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -1,4 +1,4 @@
-"""The parts that a call passes through at one node, put together."""
+"""Assembly of the components that a call passes through at a node."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -40,7 +40,7 @@
 
 
 class CallPathDependencies(NamedTuple):
-    """What a call path is made with."""
+    """Dependencies of :class:`CallPath`."""
 
     settings: Settings
     incarnation: int
@@ -53,29 +53,29 @@
     #: Connections for calls to nodes and backend servers.
     pool: ConnectionPool
     metrics: NodeMetrics
-    #: Told when a backend server's readiness changes.
+    #: Called when the readiness of a backend server changes.
     on_change: Callable[[], None]
-    #: Returns the service of this instance, empty while unknown.
+    #: Returns the service of this instance, or an empty string if unknown.
     find_own_service: Callable[[], str]
 
 
 class CallPath(NamedTuple):
-    """A request meets these from the ingress to the backend server."""
+    """Components that a request passes through, from ingress to gateway."""
 
     ingress: Ingress
     keyed: KeyedCalls
     dispatcher: Dispatcher
     routing: RoutingTable
     gateway: BackendGateway
-    #: Calls that run in the own backend server, and those that it makes.
+    #: Calls running in the local backend servers, by context token.
     contexts: ContextTable
-    #: Calls that other nodes sent, for their inquiries.
+    #: Calls received lately, so that other nodes can query their outcome.
     calls: CallTable
     suspicions: Suspicions
 
 
 def create_call_path(dependencies: CallPathDependencies) -> CallPath:
-    """Create the parts from the backend server outwards."""
+    """Create the components, from the backend server outwards."""
     environment = dependencies.environment
     settings = dependencies.settings
     suspicions = Suspicions(
--- a/merlintrail/node/_calls.py
+++ b/merlintrail/node/_calls.py
@@ -1,4 +1,4 @@
-"""A call to be sent, and what came of it."""
+"""Calls between nodes, and their results."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -20,34 +20,35 @@
 
 
 class OutgoingCall(NamedTuple):
-    """A call that this node sends for a caller or its backend server."""
+    """A call to a service, as a node sends or receives it."""
 
     request_id: str
     #: Name of the request kind at the ingress.
     kind: str
     service: str
     method: str
-    #: Path and query below the service.
+    #: Path and query that the backend server receives.
     target: str
     headers: HeaderList
     body: bytes
     priority: int
     is_idempotent: bool
-    #: Clock time at which the answer is due.
+    #: Clock time of the deadline.
     deadline: float
+    #: Retries left to the call and its nested calls.
     account: RetryAccount
+    #: Position in the call chain; a call made for a caller has depth 1.
     depth: int
-    #: Idempotency key, scoped to the service.
+    #: Idempotency key, unique within the service.
     key: str | None
-    #: Service of the instance at which the call began.
+    #: Service of the instance where the call originates, empty if it has none.
     caller_service: str = ''
     #: Milliseconds within which an answer is worth most, if stated.
     objective_ms: float | None = None
-    #: Backend servers that the call may be handed to, ``None`` for no bound
-    #: but the account.
+    #: Maximum attempts that reach a backend server; ``None`` if only the
+    #: retry account limits them.
     max_attempts: int | None = None
-    #: Identifier of the request that it was made for, where it has another
-    #: of its own.
+    #: Identifier of the request that caused it, if its own differs.
     parent_id: str | None = None
 
 
@@ -57,26 +58,26 @@
 
 
 class CallResult(NamedTuple):
-    """What came of a call."""
+    """Answer to a call, with what its attempts reported."""
 
     answer: HttpResponse | Refusal
-    #: Shedding levels of the services that the call met, by place.
+    #: Shedding levels of services on the path, by service and data centre.
     path_levels: Mapping[str, int]
-    #: Calls made for it, itself and its repeats included.
+    #: Number of calls made for it: its attempts and their nested calls.
     calls: int = 1
 
 
 class GatewayResult(NamedTuple):
-    """What came of a call at the backend server's node."""
+    """Answer to one attempt, with the report of the backend server's node."""
 
     answer: HttpResponse | Refusal
     report: CallReport
-    #: The answer as it goes to another node, once it is built.
+    #: The answer encoded for another node, once built.
     encoded: HttpResponse | None = None
 
 
 def list_forwarded(request: HttpRequest) -> HeaderList:
-    """Return the headers of a request that go on to the next hop."""
+    """Return the headers of a request that are forwarded to the next hop."""
     return [
         (name, text)
         for name, text in request.headers.items()
@@ -87,7 +88,7 @@
 def build_peer_answer(
     gateway_result: GatewayResult, request_id: str
 ) -> HttpResponse:
-    """Build the answer between nodes, with its report."""
+    """Build the answer to another node, with the report in a header."""
     if gateway_result.encoded is not None:
         return gateway_result.encoded
     answer = gateway_result.answer
@@ -103,7 +104,7 @@
 def build_call_headers(
     headers: HeaderList, encoded_header: str, fleet_key: str
 ) -> HeaderList:
-    """Add the headers between nodes to those of the caller."""
+    """Add the headers exchanged between nodes to those of the caller."""
     return [
         (CALL_HEADER, encoded_header),
         (FLEET_KEY_HEADER, fleet_key),
--- a/merlintrail/node/_contexts.py
+++ b/merlintrail/node/_contexts.py
@@ -1,4 +1,4 @@
-"""Calls running in the own backend server, by their context token."""
+"""Calls running in the local backend servers, by context token."""
 
 import asyncio
 import random
@@ -8,37 +8,37 @@
 from merlintrail.state import RetryAccount
 from merlintrail.transport import HeaderList
 
-#: Calls that a request may be deep.
+#: Maximum depth of a chain of nested calls.
 MAX_DEPTH: Final = 32
 
 
 class ParentCall:
-    """A call running in the backend server, parent of the calls it makes."""
+    """A call running in a backend server, the parent of its nested calls."""
 
     def __init__(self, token: str, header: CallHeader, deadline: float) -> None:
-        #: Opaque context that the backend server copies.
+        #: Opaque context that the backend server copies to its nested calls.
         self.token = token
         self.header = header
-        #: Clock time at which the answer is due.
+        #: Clock time of the deadline.
         self.deadline = deadline
-        #: Retries for the calls below.
+        #: Retries left to the nested calls.
         self.account = RetryAccount(header.retries)
-        #: Shedding levels of services below, by name.
+        #: Shedding levels met by the nested calls, by service and data centre.
         self.path_levels: dict[str, int] = {}
-        #: Whether a call below was refused or failed.
+        #: Whether a nested call was refused or failed without an answer.
         self.has_failed_nested_call = False
         #: Whether the backend server's own answer says that it failed.
         self.has_failed = False
-        #: Calls made below, over the whole tree.
+        #: Number of nested calls, over the whole call tree.
         self.nested_calls = 0
-        #: Digests of the calls made so far.
+        #: Digests of the nested calls made so far.
         self.digests: set[str] = set()
         self._nested_tasks: set[asyncio.Task[object]] = set()
         self._nested_since: float | None = None
         self._nested_time_s = 0.0
 
     def begin_nested_call(self, now: float) -> None:
-        """Note that a call below begins in the current task."""
+        """Record that a nested call begins in the current task."""
         task = asyncio.current_task()
         if task is not None:
             self._nested_tasks.add(task)
@@ -46,7 +46,7 @@
             self._nested_since = now
 
     def end_nested_call(self, now: float) -> None:
-        """Note that the call below in the current task has ended."""
+        """Record that the nested call in the current task has ended."""
         task = asyncio.current_task()
         if task is not None:
             self._nested_tasks.discard(task)
@@ -55,22 +55,25 @@
             self._nested_since = None
 
     def compute_own_time(self, duration_s: float) -> float:
-        """Return the time not spent waiting for calls below."""
+        """Return the time not spent waiting for nested calls.
+
+        :param duration_s: seconds for which the call ran.
+        """
         return max(0.0, duration_s - self._nested_time_s)
 
     def cancel_nested_calls(self) -> None:
-        """End the calls below."""
+        """Cancel the nested calls in progress."""
         for task in tuple(self._nested_tasks):
             task.cancel()
 
 
 def get_call_class(header: CallHeader) -> str:
-    """Name the sort of a call: calls of one sort take about as long."""
+    """Return the class of a call; calls of a class take about as long."""
     return f'{header.kind} {header.depth}'
 
 
 class ContextTable:
-    """Finds the parent of a call by the token that it carries."""
+    """Running calls by context token, to find the parent of a nested call."""
 
     def __init__(self, dialect: Dialect, rng: random.Random) -> None:
         self._dialect = dialect
@@ -78,15 +81,15 @@
         self._parents: dict[str, ParentCall] = {}
 
     def __len__(self) -> int:
-        """Return the number of calls running."""
+        """Return the number of running calls."""
         return len(self._parents)
 
     def open(
         self, header: CallHeader, deadline: float, headers: HeaderList
     ) -> ParentCall:
-        """Begin a call in the backend server.
+        """Create the context of a call that starts in a backend server.
 
-        :param headers: the headers that go to the backend server.
+        :param headers: headers that are sent to the backend server.
         """
         token = self._dialect.create_token(headers, self._rng)
         parent = ParentCall(token, header, deadline)
@@ -94,11 +97,11 @@
         return parent
 
     def find(self, token: str) -> ParentCall | None:
-        """Return the call that a token stands for, while it runs."""
+        """Return the running call of a token, ``None`` if there is none."""
         return self._parents.get(token)
 
     def close(self, parent: ParentCall) -> None:
-        """End a call and everything below it."""
+        """Remove a call that ended and cancel its nested calls."""
         if self._parents.get(parent.token) is parent:
             del self._parents[parent.token]
         parent.cancel_nested_calls()
--- a/merlintrail/node/_dispatch.py
+++ b/merlintrail/node/_dispatch.py
@@ -1,4 +1,4 @@
-"""Routing a call, and trying it again where that is allowed."""
+"""Routing of calls to backend servers, with retries and redirects."""
 
 import random
 from collections.abc import Callable
@@ -44,7 +44,7 @@
 )
 from merlintrail.transport import HttpResponse
 
-#: Reasons that say that a backend server takes nothing at present.
+#: Refusal reasons that show that a backend server accepts no calls now.
 _UNAVAILABLE_REASONS: Final = frozenset(
     (
         Reason.DRAINING,
@@ -54,17 +54,18 @@
         Reason.STALE_INCARNATION,
     )
 )
+#: Refusal reasons that count as failures towards an ejection.
 _EJECTION_REASONS: Final = frozenset((Reason.PEER_LOST, Reason.BACKEND_LOST))
-#: Part of the allowed share of retries that is used, since requests are
-#: counted by each node as it sees them.
-RETRY_SHARE_MARGIN: Final = 0.8
-#: Bytes of the headers of a call and its answer between nodes.
+#: Fraction of the configured retry share that a node uses, because each node
+#: counts only the requests that it sees itself.
+RETRY_SHARE_FACTOR: Final = 0.8
+#: Estimated bytes of the headers of a call and its answer between nodes.
 ESTIMATED_HEADER_BYTES: Final = 900
 _MS_PER_S: Final = 1000
 
 
 def _get_size_class(call: OutgoingCall) -> str:
-    """Name the calls that are about as large as a call."""
+    """Return the class of calls with messages of about the same size."""
     return call.kind if call.depth == 1 else call.service
 
 
@@ -84,16 +85,16 @@
 
 
 class LocalGateway(Protocol):
-    """The way to the backend servers beside this node."""
+    """Gateway to the backend servers beside this node."""
 
     async def handle_call(
         self, header: CallHeader, call: OutgoingCall
     ) -> GatewayResult:
-        """Run a call in a backend server of this node."""
+        """Run a call in a backend server beside this node."""
 
 
 class DispatcherDependencies(NamedTuple):
-    """What a dispatcher is made with."""
+    """Dependencies of :class:`Dispatcher`."""
 
     #: Identifier of this node.
     node_id: str
@@ -108,7 +109,7 @@
 
 
 class Dispatcher:
-    """Sends calls to backend servers of their service."""
+    """Sends calls to backend servers of their service and retries them."""
 
     def __init__(self, dependencies: DispatcherDependencies) -> None:
         self._deps = dependencies
@@ -121,18 +122,18 @@
     def configure_retries(
         self, settings: RetryBudgetSettings, nodes: int
     ) -> None:
-        """Set the bounds on retries.
+        """Set the limits on retries.
 
-        :param nodes: nodes that share what is allowed besides the share.
+        :param nodes: number of nodes that divide the base rate of retries.
         """
         base = settings.base or 0.0
         self._retries.budgets.configure(
-            settings.share * RETRY_SHARE_MARGIN,
+            settings.share * RETRY_SHARE_FACTOR,
             base / settings.window_s / max(1, nodes),
         )
 
     async def dispatch(self, call: OutgoingCall) -> CallResult:
-        """Send a call until it is answered or no try is left."""
+        """Send a call until it is answered or may not be sent again."""
         self._retries.record_first_attempt(call)
         progress = Progress()
         while True:
@@ -145,7 +146,7 @@
             levels = self._list_levels(choice.target, gateway_result.report)
             progress.levels = merge_levels(progress.levels, levels)
             if call.depth == 1:
-                self._record_data_centre(
+                self._record_outcome(
                     call, choice.target, gateway_result, levels
                 )
             progress.record_attempt(gateway_result)
@@ -162,14 +163,14 @@
             progress.choose_answer(), progress.levels, progress.calls
         )
 
-    def _record_data_centre(
+    def _record_outcome(
         self,
         call: OutgoingCall,
         target: Target,
         gateway_result: GatewayResult,
         levels: dict[str, int],
     ) -> None:
-        """Take note of what a request met where it was sent."""
+        """Record levels and outcome of a request for its data centre."""
         now = self._clock()
         data_centre = target.member.data_centre
         self._routing.path_levels.record(call.kind, data_centre, levels, now)
@@ -186,7 +187,11 @@
     def _list_levels(
         self, target: Target, report: CallReport
     ) -> dict[str, int]:
-        """Return the levels that an attempt met, its own server's too."""
+        """Return the shedding levels met by an attempt.
+
+        The level of the target itself is included while it sheds and for a
+        short time after.
+        """
         data_centre = target.member.data_centre
         place = name_place(target.offer.service, data_centre)
         levels = dict(report.path_levels)
@@ -307,18 +312,18 @@
     def _record_failure(
         self, target: Target, answer: HttpResponse | Refusal
     ) -> None:
-        """Leave a server that takes nothing; eject one that falls silent.
+        """Pass over a target that accepts no calls; eject a failing one.
 
-        A lone answer that a backend server lost says neither: it counts in
-        the share of its calls that fail.
+        The loss of a single answer causes neither, because the backend
+        server may be well: it counts in the target's share of failed calls.
         """
         if isinstance(answer, HttpResponse):
             return
-        is_single_loss = (
+        is_lost_answer = (
             answer.reason == Reason.BACKEND_LOST
             and answer.outcome != Outcome.NOT_RUN
         )
-        if is_single_loss:
+        if is_lost_answer:
             return
         if answer.reason in _UNAVAILABLE_REASONS:
             target.pass_over(self._clock())
--- a/merlintrail/node/_exchange.py
+++ b/merlintrail/node/_exchange.py
@@ -1,4 +1,4 @@
-"""Sending a call to another node, and finding out what became of it."""
+"""Sending a call to another node and determining its outcome."""
 
 import asyncio
 import base64
@@ -30,35 +30,38 @@
     TransportFailure,
 )
 
-#: Seconds after which a call is asked for at the earliest.
+#: Seconds after sending a call before the first inquiry, at least. Also the
+#: first interval between inquiries.
 MIN_INQUIRY_DELAY_S: Final = 0.15
-#: Usual latencies after which a call is asked for.
+#: Multiple of the typical latency after which an inquiry is sent.
 INQUIRY_DELAY_FACTOR: Final = 4.0
 #: Seconds to wait for the answer to an inquiry.
 INQUIRY_TIMEOUT_S: Final = 0.25
-#: Inquiries without any word after which the peer counts as lost.
+#: Consecutive unanswered inquiries after which the peer counts as lost.
 MAX_UNANSWERED_INQUIRIES: Final = 3
-#: Growth of the pause between inquiries about a running call.
+#: Factor by which the interval between inquiries about a running call grows.
 INQUIRY_BACKOFF_FACTOR: Final = 1.5
+#: Longest interval between inquiries in seconds.
 MAX_INQUIRY_INTERVAL_S: Final = 2.0
-#: Subject of an inquiry.
+#: Subject of inquiry messages between nodes.
 INQUIRY_SUBJECT: Final = 'inquiry'
 
 
 class _InquiryWatch:
-    """Inquiries made while an exchange is still waiting."""
+    """Inquiries about a call whose exchange is still waiting."""
 
     def __init__(self) -> None:
         self.task: asyncio.Task[None] | None = None
-        #: What they found.
+        #: Outcome that the inquiries determined, ``None`` until then.
         self.result: HttpResponse | Refusal | None = None
 
 
 class PeerExchange:
     """Exchanges calls with other nodes.
 
-    A call that takes longer than usual, or whose connection fails, is asked
-    for on a new connection. Only an answer to that proves ``not-run``.
+    If a call takes much longer than usual, or its connection fails once
+    established, the peer is queried for its outcome on a new connection.
+    Only the answer to that inquiry can prove that such a call did not run.
     """
 
     def __init__(
@@ -80,9 +83,9 @@
         call: OutgoingCall,
         typical_latency_s: float,
     ) -> HttpResponse | Refusal:
-        """Send a call and return the peer's answer or what became of it.
+        """Send a call and return the peer's answer or the call's outcome.
 
-        :param typical_latency_s: usual latency of such calls in seconds.
+        :param typical_latency_s: mean latency of such calls in seconds.
         """
         watch = _InquiryWatch()
 
@@ -139,14 +142,17 @@
         watch: _InquiryWatch,
         connection: ClientConnection,
     ) -> None:
-        """Ask for a slow call until there is a verdict; then end the wait."""
+        """Query the outcome of a slow call, then end its exchange."""
         watch.result = await self._inquire_outcome(member, header, deadline)
         connection.give_up('ended by an inquiry')
 
     async def _inquire_outcome(
         self, member: Member, header: CallHeader, deadline: float
     ) -> HttpResponse | Refusal:
-        """Ask until the fate of the call is known or its deadline passes."""
+        """Send inquiries until the outcome is known or the deadline passes.
+
+        Give up after several consecutive inquiries without a reply.
+        """
         interval_s = MIN_INQUIRY_DELAY_S
         unanswered = 0
         while unanswered < MAX_UNANSWERED_INQUIRIES:
@@ -170,7 +176,9 @@
                 MAX_INQUIRY_INTERVAL_S, interval_s * INQUIRY_BACKOFF_FACTOR
             )
         return Refusal(
-            Outcome.MAY_HAVE_RUN, Reason.PEER_LOST, 'no word of the call'
+            Outcome.MAY_HAVE_RUN,
+            Reason.PEER_LOST,
+            'no reply to inquiries about the call',
         )
 
     async def _inquire(
--- a/merlintrail/node/_ingress.py
+++ b/merlintrail/node/_ingress.py
@@ -1,4 +1,4 @@
-"""Requests of callers, and calls of the own backend server."""
+"""Requests of callers and nested calls of the local backend servers."""
 
 import random
 from collections.abc import Callable
@@ -42,7 +42,7 @@
 
 
 class IngressDependencies(NamedTuple):
-    """What the ingress is made with."""
+    """Dependencies of :class:`Ingress`."""
 
     instance: str
     data_centre: str
@@ -53,7 +53,7 @@
     suspicions: Suspicions
     metrics: NodeMetrics
     dialect: Dialect
-    #: Returns the service of the own backend server, empty without one.
+    #: Returns the service of the local backend server, or an empty string.
     find_own_service: Callable[[], str]
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
@@ -61,7 +61,7 @@
 
 
 class _ReceivedRequest(NamedTuple):
-    """A request that is being served."""
+    """A request being served, with the caller headers read from it."""
 
     request: HttpRequest
     request_id: str
@@ -69,20 +69,24 @@
 
 
 class Ingress:
-    """Serves one request from its arrival to its answer."""
+    """Entry point of a node for callers and its local backend servers.
+
+    A request with the context token of a running call is a nested call of
+    that call; every other request comes from a caller.
+    """
 
     def __init__(self, dependencies: IngressDependencies) -> None:
         self._deps = dependencies
         self._clock = dependencies.clock
         self._resolver = Resolver(dependencies.rng)
         self._refused_requests = RefusedRequests()
-        #: Requests in progress.
+        #: Number of requests in progress.
         self.running = 0
-        #: Whether callers are refused; the backend server's calls are not.
+        #: Whether requests of callers are refused; nested calls still run.
         self.is_closed = False
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Serve a request of a caller or of the own backend server."""
+        """Serve a request of a caller or a nested call."""
         started_at = self._clock()
         headers = self._deps.dialect.read_caller(request)
         request_id = headers.request_id or create_id(self._deps.rng)
@@ -164,7 +168,7 @@
     def _set_retry_after(
         self, refusal: Refusal, objective_ms: float | None
     ) -> Refusal:
-        """Tell a refused caller when to come back."""
+        """Set the time after which a refused caller should retry."""
         pause_s = compute_pause(
             refusal.retry_after_s,
             None if objective_ms is None else objective_ms / _MS_PER_S,
@@ -243,7 +247,8 @@
         if call.depth > MAX_DEPTH:
             return Refusal(Outcome.NOT_RUN, Reason.TOO_DEEP)
         if call.request_id != parent.header.request_id:
-            # The backend server tells its calls apart by identifiers.
+            # The backend server gave the call an identifier of its own, so
+            # an equal call is not taken for a repetition.
             return None
         digest = compute_call_digest(call)
         if digest in parent.digests and not parent.account.spend():
@@ -288,10 +293,12 @@
         resolution: Resolution,
         parent: ParentCall,
     ) -> OutgoingCall:
-        """Build a call below another, whose terms it inherits.
+        """Build a nested call.
 
-        A route states by itself what may be repeated; without routes a call
-        below a non-idempotent one is not repeated either.
+        Kind, priority and retry account are those of the parent, and the
+        deadline is not later than the parent's. A route states by itself
+        which requests are idempotent; without routes, a nested call of a
+        non-idempotent parent is not idempotent either.
         """
         call = self._build_call(received, resolution)
         is_idempotent = call.is_idempotent and (
--- a/merlintrail/node/_keyed.py
+++ b/merlintrail/node/_keyed.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests with a key: sent to the owner of their slot."""
+"""Keyed requests: non-idempotent requests run by the owner of their slot."""
 
 import asyncio
 import base64
@@ -44,22 +44,23 @@
 )
 from merlintrail.transport import HttpResponse, TransportFailure
 
-#: Owners of a slot that are tried one after the other.
+#: Maximum attempts to reach the owner of a slot, while ownership changes.
 MAX_OWNER_ATTEMPTS: Final = 3
-#: Seconds between tries while a slot moves.
+#: Seconds before the second attempt; each later delay grows by as much.
 OWNER_RETRY_DELAY_S: Final = 0.05
-#: Seconds to wait for an earlier owner's word.
+#: Seconds to wait for the answer of a previous owner.
 RECALL_TIMEOUT_S: Final = 0.5
-#: Seconds that a call to the owner of a slot usually takes.
+#: Typical latency in seconds of a call to the owner of a slot.
 TYPICAL_LATENCY_S: Final = 0.25
 _MS_PER_S: Final = 1000
+#: Refusal reasons after which the owner of a slot is looked up again.
 _OWNER_CHANGED_REASONS: Final = frozenset(
     (Reason.LEDGER_MOVED, Reason.PEER_LOST)
 )
 
 
 class KeyedCallsDependencies(NamedTuple):
-    """What keyed calls are made with."""
+    """Dependencies of :class:`KeyedCalls`."""
 
     node_id: str
     holder: ConfigurationHolder
@@ -73,7 +74,11 @@
 
 
 class KeyedCalls:
-    """Runs keyed calls through the ledger."""
+    """Runs keyed calls at most once, through the ledger.
+
+    A keyed call is a non-idempotent call with an idempotency key. The key
+    belongs to a slot of the ledger, and the owner of the slot runs the call.
+    """
 
     def __init__(self, dependencies: KeyedCallsDependencies) -> None:
         self._deps = dependencies
@@ -83,16 +88,16 @@
 
     @property
     def ledger(self) -> Ledger:
-        """The ledger slots of this node."""
+        """The ledger with the slots of this node."""
         assert self._ledger is not None
         return self._ledger
 
     def attach(self, ledger: Ledger) -> None:
-        """Set the ledger that recalls through this object."""
+        """Set the ledger, which needs :meth:`recall` at its creation."""
         self._ledger = ledger
 
     async def execute(self, call: OutgoingCall) -> CallResult:
-        """Run a keyed call at the owner of its slot."""
+        """Run a keyed call at the owner of its slot, here or elsewhere."""
         configuration = self._deps.holder.current
         assert configuration is not None
         refusal = self._check_key(call, configuration)
@@ -108,8 +113,8 @@
     async def execute_here(self, call: OutgoingCall) -> CallResult:
         """Run a keyed call as the owner of its slot.
 
-        The request goes on after its caller's deadline, until that of its
-        kind, so that a resend gets the answer.
+        The request continues after its caller's deadline, until the deadline
+        of its kind, so that a resend can get the answer.
         """
         path_levels: dict[str, int] = {}
 
@@ -154,7 +159,10 @@
         return GatewayResult(answer, report)
 
     async def recall(self, record: KeyRecord) -> HttpResponse | Refusal | None:
-        """Ask an earlier owner for the answer to a key."""
+        """Ask the owner that recorded a key for its answer.
+
+        :returns: ``None`` if that node has departed or does not know it.
+        """
         member = self._deps.table.find(record.owner)
         if member is None or member.is_gone:
             return None
@@ -169,7 +177,7 @@
         return _decode_recalled_answer(answer)
 
     def handle_recall(self, document: dict[str, Any]) -> object:
-        """Tell another owner the answer to a key, if it is known here."""
+        """Return the answer to a key for another owner, ``None`` if unknown."""
         answer = self.ledger.find_answer(str(document.get('key')))
         if answer is None:
             return None
@@ -205,7 +213,10 @@
     def _find_owner(
         self, configuration: Configuration, slot: int
     ) -> Member | None:
-        """Find the owner of a slot, anew only when something changed."""
+        """Return the owner of a slot.
+
+        It is cached until the members or the configuration change.
+        """
         version = (self._deps.table.digest, configuration.generation)
         if version != self._owners_version:
             self._owners_version = version
@@ -280,7 +291,7 @@
 
 
 def _scope_key(call: OutgoingCall) -> str:
-    """Return the key as the ledger records it."""
+    """Return the digest of service and key, which the ledger records."""
     scoped_key = f'{call.service}\n{call.key}'
     digest: str = xxhash.xxh3_128_hexdigest(scoped_key.encode())
     return digest
--- a/merlintrail/node/_local_service.py
+++ b/merlintrail/node/_local_service.py
@@ -1,4 +1,4 @@
-"""What a node answers to the backend servers beside it."""
+"""Requests on the call address, including those of local backend servers."""
 
 import json
 from collections.abc import Awaitable, Callable, Mapping
@@ -14,7 +14,7 @@
 from merlintrail.protocol import decode_json, encode_json
 from merlintrail.transport import HttpRequest, HttpResponse, RequestHandler
 
-#: Path prefix of what backend servers tell their node.
+#: Path prefix of requests to the node itself.
 LOCAL_PATH: Final = '/-/'
 _JSON: Final = (('content-type', 'application/json'),)
 
@@ -24,7 +24,11 @@
 
 
 class LocalService:
-    """Takes announcements; passes every other request to the ingress."""
+    """Serves the call address of a node.
+
+    Answers health checks, announcements and drain requests under
+    :data:`LOCAL_PATH` and passes every other request to the ingress.
+    """
 
     def __init__(
         self,
@@ -39,7 +43,7 @@
         self._build_health = build_health
 
     def handle(self, request: HttpRequest) -> Awaitable[HttpResponse]:
-        """Answer one request on the call address."""
+        """Answer a request on the call address."""
         if request.target.startswith(LOCAL_PATH):
             return self._handle_local(request)
         return self._serve(request)
@@ -54,7 +58,9 @@
                 403, {'error': 'only for backend servers of this instance'}
             )
         if request.method != 'POST' or subject not in {'announce', 'drain'}:
-            return _build_answer(404, {'error': f'no {subject!r} here'})
+            return _build_answer(
+                404, {'error': f'no endpoint {subject!r} here'}
+            )
         document = decode_json(request.body)
         if not isinstance(document, dict):
             return _build_answer(400, {'error': 'not a JSON object'})
@@ -73,9 +79,9 @@
         service = document.get('service')
         gate = self._gateway.gates.get(str(service))
         if gate is None:
-            known = json.dumps(sorted(self._gateway.gates))
+            names = json.dumps(sorted(self._gateway.gates))
             return _build_answer(
-                404, {'error': f'{service!r} is not announced; known: {known}'}
+                404, {'error': f'{service!r} is not announced; known: {names}'}
             )
         announcement = gate.backend.announcement._replace(is_ready=False)
         self._gateway.registry.announce(announcement)
--- a/merlintrail/node/_resolution.py
+++ b/merlintrail/node/_resolution.py
@@ -1,4 +1,4 @@
-"""Which service a request goes to, and on what terms."""
+"""Resolution of requests to services and request kinds."""
 
 import random
 import re
@@ -12,21 +12,21 @@
 
 
 class Resolution(NamedTuple):
-    """Where a request goes."""
+    """Service, target and kind that a request resolves to."""
 
     service: str
-    #: Path and query as the backend server gets them.
+    #: Path and query that the backend server receives.
     target: str
     kind: RequestKind
-    #: Whether a route of the configuration decided it.
+    #: Whether a route of the configuration determined the service.
     is_routed: bool
 
 
 class ServiceTarget(NamedTuple):
-    """A target that names its service, split."""
+    """A target split into its service and the rest of the path."""
 
     service: str
-    #: Path and query below the service.
+    #: Path and query without the service.
     target: str
 
     @property
@@ -47,7 +47,7 @@
 
 
 class Resolver:
-    """Resolves requests by routes, or by the service that the path names."""
+    """Resolves requests by the configured routes, else by their path."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -56,7 +56,7 @@
     def resolve(
         self, request: HttpRequest, configuration: Configuration
     ) -> Resolution | Refusal:
-        """Find service and terms of a request."""
+        """Return the service, target and kind of a request, or a refusal."""
         if configuration.routes:
             return self._resolve_route(request, configuration)
         return _resolve_path(request.target, request.method, configuration)
--- a/merlintrail/node/_retry_policy.py
+++ b/merlintrail/node/_retry_policy.py
@@ -1,4 +1,4 @@
-"""Whether a call that failed or was refused is sent again."""
+"""Decisions on whether a failed or refused call is sent again."""
 
 import enum
 from collections.abc import Callable
@@ -16,9 +16,9 @@
 from merlintrail.state import RetryBudgets
 from merlintrail.transport import HttpResponse
 
-#: Further nodes that a call is sent to before a backend server takes it.
+#: Maximum number of redirects of one call.
 MAX_REDIRECTS: Final = 2
-#: Reasons after which another backend server may do better.
+#: Refusal reasons after which another backend server may accept the call.
 _RETRYABLE_REASONS: Final = frozenset(
     (
         Reason.OVERLOAD,
@@ -36,22 +36,23 @@
         Reason.SUSPECT_BUSY,
     )
 )
-#: Reasons of calls that a backend server was handed and did not run.
+#: Refusal reasons that, with the outcome ``not-run``, mean that the call
+#: reached a backend server, which did not run it.
 _BACKEND_REJECTIONS: Final = frozenset(
     (Reason.BACKEND_REFUSED, Reason.BACKEND_DISPLACED)
 )
 
 
 class Attempts(NamedTuple):
-    """Attempts that were made of one call."""
+    """Numbers of attempts made for one call."""
 
-    #: Those in which a backend server was handed the call, or may have been.
+    #: Attempts in which the call reached a backend server, or may have.
     delivered: int = 0
-    #: Those in which none was.
+    #: Attempts in which it provably reached none.
     redirects: int = 0
 
     def add(self, gateway_result: GatewayResult) -> 'Attempts':
-        """Count one more attempt."""
+        """Return the numbers with one more attempt."""
         answer = gateway_result.answer
         if isinstance(answer, Refusal):
             is_proven_not_run = answer.outcome == Outcome.NOT_RUN
@@ -61,23 +62,24 @@
 
 
 class RetryDecision(enum.StrEnum):
-    """Why a call is sent again, or is not."""
+    """Decision on sending a call again, with the reason."""
 
-    #: No backend server was handed the call: another is asked.
+    #: The call reached no backend server and goes to another one.
     REDIRECT = 'redirect'
-    #: The account and the budget had room.
+    #: The retry account and the retry budget allow a retry.
     RETRY = 'retry'
-    #: The report, the time left or a conviction rules it out.
+    #: The report excludes a retry, the deadline has passed, or the request
+    #: is quarantined.
     HOPELESS = 'hopeless'
-    #: The call may have run and must not run twice.
+    #: The call may have run and is not idempotent.
     NOT_IDEMPOTENT = 'not-idempotent'
-    #: Another backend server would refuse for the same reason.
+    #: Another backend server would refuse the call for the same reason.
     FINAL = 'final-reason'
-    #: It was sent to as many backend servers as the route allows.
+    #: The limit of the route on attempts, or that on redirects, is reached.
     NO_ATTEMPT_LEFT = 'no-attempt-left'
-    #: The request has no retry left.
+    #: The retry account of the request is empty.
     ACCOUNT_EMPTY = 'account-empty'
-    #: This node has sent as many retries to the service as it may.
+    #: The retry budget of this node for the service is used up.
     BUDGET_EMPTY = 'budget-empty'
 
     @property
@@ -87,11 +89,12 @@
 
 
 class RetryPolicy:
-    """Decides on further attempts, within the bounds on retries.
+    """Decides on further attempts, within the limits on retries.
 
-    A call that no backend server was handed yet is redirected; that is no
-    retry. A retry takes one from the request's account and, since it adds
-    to the load of a service, from the node's budget for that service.
+    After an attempt that reached no backend server the call is redirected,
+    which does not count as a retry. A retry is charged to the account of the
+    request and, because it adds load to the service, to the node's budget
+    for that service.
     """
 
     def __init__(
@@ -102,7 +105,7 @@
         self.budgets = RetryBudgets()
 
     def record_first_attempt(self, call: OutgoingCall) -> None:
-        """Credit the budget of the service."""
+        """Credit the retry budget of the service."""
         self.budgets.find(call.service).record_attempt()
 
     def decide(
@@ -111,7 +114,7 @@
         gateway_result: GatewayResult,
         attempts: Attempts,
     ) -> RetryDecision:
-        """Decide whether to send a call again, and take what that costs."""
+        """Decide whether to send a call again, and charge a retry."""
         is_hopeless = (
             not gateway_result.report.may_retry
             or call.deadline <= self._clock()
@@ -138,7 +141,11 @@
         return self._spend_retry(call, cost)
 
     def _spend_retry(self, call: OutgoingCall, cost: float) -> RetryDecision:
-        """Take a retry that will make about as many calls as before."""
+        """Charge a retry to the account and the budget.
+
+        :param cost: calls that the retry is expected to make, as many as
+            the last attempt made.
+        """
         if not call.account.spend():
             return RetryDecision.ACCOUNT_EMPTY
         budget = self.budgets.find(call.service)
@@ -158,7 +165,7 @@
 def has_failed_in_backend(gateway_result: GatewayResult) -> bool | None:
     """Tell whether a call failed in its backend server.
 
-    :returns: ``None`` when the attempt tells nothing about it.
+    :returns: ``None`` when the attempt does not show it.
     """
     answer = gateway_result.answer
     report = gateway_result.report
