--- a/merlintrail/node/tests/test_golden_sessions.py
+++ b/merlintrail/node/tests/test_golden_sessions.py
@@ -1,6 +1,6 @@
-"""Golden files: the full transcripts of scripted sessions.
+"""Golden files: complete transcripts of scripted sessions.
 
-``make golden`` writes them anew.
+``make golden`` regenerates them.
 """
 
 import asyncio
@@ -41,11 +41,11 @@
     session = Session(_DOCUMENT, ('ingress', 'advisor', 'desk'))
 
     async def advise(request: HttpRequest) -> HttpResponse:
-        below = await session.call_below(
+        charts = await session.call_below(
             'advisor', request, '/chartdesk/charts'
         )
-        status = 200 if below.status == 200 else 502
-        return HttpResponse(status, (), b'advised ' + below.body)
+        status = 200 if charts.status == 200 else 502
+        return HttpResponse(status, (), b'advised ' + charts.body)
 
     session.add_backend('advisor', 'fitadvisor', advise, slots=1)
     session.add_backend('desk', 'chartdesk', answer_after(0.02), slots=1)
@@ -53,35 +53,35 @@
 
 
 def _create_deep_session() -> Session:
-    """Create 13 services in line over three nodes; the last one dies."""
+    """Create a chain of 13 services on three nodes; the last one fails."""
     names = [f's{number:02d}' for number in range(13)]
     document = build_document(
         {name: [build_kind('x', deadline_ms=5000)] for name in names}
     )
     session = Session(document, ('ingress', 'a', 'b', 'c'))
 
-    def create_hop(node: str, below: str | None) -> BackendHandler:
+    def create_hop(node: str, next_name: str | None) -> BackendHandler:
         async def run(request: HttpRequest) -> HttpResponse:
-            if below is None:
+            if next_name is None:
                 raise ConnectionAbortedError
-            answer = await session.call_below(node, request, f'/{below}/x')
+            answer = await session.call_below(node, request, f'/{next_name}/x')
             return HttpResponse(502, (), answer.body)
 
         return run
 
     for node in ('a', 'b', 'c'):
-        for name, below in zip(names, (*names[1:], None), strict=True):
-            session.add_backend(node, name, create_hop(node, below))
+        for name, next_name in zip(names, (*names[1:], None), strict=True):
+            session.add_backend(node, name, create_hop(node, next_name))
     return session
 
 
 async def _run_deep(session: Session) -> None:
-    """A request through 13 hops: two further attempts in the whole tree."""
+    """Send a request through 13 hops; two further attempts are made in all."""
     await session.call('ingress', '/s00/x', 'deep')
 
 
 async def _run_chain(session: Session) -> None:
-    """A request through two services, and one refused by each fault."""
+    """Send a request through two services, and one with each fault."""
     await session.call('ingress', '/fitadvisor/advice', 'size 38')
     await session.call('ingress', '/nowhere/advice')
     await session.call('ingress', '/UPPER')
@@ -104,7 +104,7 @@
 
 
 async def _run_overload(session: Session) -> None:
-    """Lesser calls fill the only slot; important ones push them out."""
+    """Fill the only slot with low-priority calls, then send critical ones."""
     calls = [
         asyncio.create_task(
             session.call('ingress', '/chartdesk/sync', f'sync {number}')
@@ -122,7 +122,7 @@
 
 
 async def _run_keyed(session: Session) -> None:
-    """A fit credit, its resends, a wrong reuse, and a store outage."""
+    """Send a keyed request, resend it, reuse its key and fail the store."""
     headers = {'idempotency-key': 'credit-1'}
     await session.call('ingress', '/fitadvisor/credits', 'credit', headers)
     await session.call('desk', '/fitadvisor/credits', 'credit', headers)
@@ -137,7 +137,7 @@
 
 
 async def _run_faults(session: Session) -> None:
-    """A connection gone silent, a lost answer, a drain."""
+    """Lose a call on its connection, lose an answer, and drain a node."""
     session.network.swallowing.add('advisor:2')
     await session.call('ingress', '/fitadvisor/advice', 'swallowed')
     session.network.losing['advisor:2'] = 1
@@ -147,7 +147,7 @@
 
 
 async def _run_operators(session: Session) -> None:
-    """A new generation shortens a deadline; an older one changes nothing."""
+    """Apply a new generation with a shorter deadline, then an older one."""
     await session.call('ingress', '/chartdesk/sync', 'before')
     shorter = build_document(
         {
@@ -162,7 +162,7 @@
 
 
 class _Script(NamedTuple):
-    """A scripted session."""
+    """A script and the session in which it runs."""
 
     run: Callable[[Session], Awaitable[None]]
     create: Callable[[], Session] = _create_session
@@ -186,10 +186,10 @@
 
 
 class GoldenSessionTest(unittest.TestCase):
-    """Each session gives the same transcript as before."""
+    """Each session produces the recorded transcript."""
 
     def test_transcripts(self) -> None:
-        """Answers, log lines and store calls."""
+        """Transcripts hold answers, log lines and store calls."""
         for name, script in _SCRIPTS.items():
             with self.subTest(name):
                 transcript = run_virtually(_record(script))
--- a/merlintrail/node/tests/test_hints.py
+++ b/merlintrail/node/tests/test_hints.py
@@ -1,4 +1,4 @@
-"""Health and load endpoints that lie change nothing."""
+"""Wrong health and load endpoints do not affect routing."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 def _create_session(health_status: int) -> Session:
-    """Create a session whose backend servers tell a health of their own."""
+    """Create a session with a health status of its backend servers."""
     session = Session(_DOCUMENT, ('ingress', 'one', 'two'))
     serve = answer_after(0.01)
 
@@ -44,7 +44,7 @@
 
 
 class HintTest(unittest.TestCase):
-    """What a node measures counts, whatever the endpoints say."""
+    """Connections and answers decide, not the polled endpoints."""
 
     def test_bad_health_of_a_server_that_works(self) -> None:
         """Every request is served; the hint is shown to operators."""
@@ -63,8 +63,8 @@
 
         run_virtually(scenario())
 
-    def test_good_health_of_a_server_that_is_gone(self) -> None:
-        """It told good health 10 s ago; now connections are refused."""
+    def test_good_health_of_a_server_that_refuses_connections(self) -> None:
+        """It reported good health 10 s ago and now refuses connections."""
 
         async def scenario() -> None:
             session = _create_session(200)
--- a/merlintrail/node/tests/test_inquiries.py
+++ b/merlintrail/node/tests/test_inquiries.py
@@ -1,4 +1,4 @@
-"""What an inquiry proves of a call that went missing."""
+"""Outcomes that inquiries prove for calls without an answer."""
 
 import asyncio
 import unittest
@@ -16,12 +16,12 @@
 
 
 class InquiryTest(unittest.TestCase):
-    """``not-run`` is proved by inquiry and tombstone."""
+    """An inquiry and its tombstone prove that a call did not run."""
 
     def test_swallowed_call_is_sent_again(self) -> None:
-        """A pooled connection swallows the call: proved, sent anew, run once.
+        """A call lost on a pooled connection is sent again and runs once.
 
-        The peer is well, so the only backend server there is gets it.
+        The peer works, so the call may go to the only backend server again.
         """
 
         async def scenario() -> None:
@@ -37,7 +37,7 @@
         run_virtually(scenario())
 
     def test_lost_answer_is_fetched(self) -> None:
-        """The call ran and its answer is lost: it is not run again."""
+        """A call that ran although its answer was lost is not run again."""
 
         async def scenario() -> None:
             for fault in ('losing', 'deaf'):
@@ -54,7 +54,7 @@
         run_virtually(scenario())
 
     def test_silent_node_gives_may_have_run(self) -> None:
-        """No word at all: a non-idempotent call goes nowhere else."""
+        """A non-idempotent call without any reply is not sent elsewhere."""
 
         async def scenario() -> None:
             session = create_read_write_session('one')
@@ -64,8 +64,8 @@
 
         run_virtually(scenario())
 
-    def test_silent_node_costs_an_idempotent_call_nothing(self) -> None:
-        """It is tried elsewhere within its deadline."""
+    def test_silent_node_fails_no_idempotent_call(self) -> None:
+        """The call is sent to another node within its deadline."""
 
         async def scenario() -> None:
             session = create_read_write_session('one', 'two')
@@ -77,7 +77,7 @@
         run_virtually(scenario())
 
     def test_not_run_counts_every_attempt(self) -> None:
-        """One attempt may have run: the refusal of the next proves nothing."""
+        """After an attempt that may have run, ``not-run`` is not reported."""
 
         async def scenario() -> None:
             for _ in range(4):
@@ -93,7 +93,7 @@
         run_virtually(scenario())
 
     def test_orders_of_call_and_inquiry(self) -> None:
-        """Every order of arrival, duplicate and inquiry is consistent."""
+        """Calls, duplicates and inquiries are consistent in every order."""
 
         async def scenario() -> None:
             session = create_read_write_session('one')
@@ -114,7 +114,7 @@
         run_virtually(scenario())
 
     def test_other_incarnation_proves_nothing(self) -> None:
-        """A restarted node cannot say what its predecessor did."""
+        """A restarted node does not know what ran in its previous process."""
 
         async def scenario() -> None:
             session = create_read_write_session('one')
--- a/merlintrail/node/tests/test_keyed.py
+++ b/merlintrail/node/tests/test_keyed.py
@@ -1,4 +1,4 @@
-"""At most once: resends, owners that move, a store that fails."""
+"""At-most-once execution: resends, moved slots and store failures."""
 
 import asyncio
 import unittest
@@ -40,35 +40,35 @@
 
 
 def _find_owner(session: Session) -> str:
-    """Return the node that has written the slot."""
+    """Return the name of the node that has acquired the slot."""
     for name, node in session.nodes.items():
         if any(slot.is_owned for slot in node.keyed.ledger._slots.values()):  # noqa: SLF001
             return name
     return ''
 
 
-def _tell_status(
-    session: Session, name: str, status: MemberStatus, told: Sequence[str]
+def _set_status(
+    session: Session, name: str, status: MemberStatus, observers: Sequence[str]
 ) -> None:
-    """Let nodes believe a member to be in a state."""
-    for node_id in told:
+    """Make observers believe that a member has a status."""
+    for node_id in observers:
         table = session.nodes[node_id].table
-        known = table.find(name)
-        assert known is not None
-        table.merge([known._replace(status=status, version=99)])
+        member = table.find(name)
+        assert member is not None
+        table.merge([member._replace(status=status, version=99)])
 
 
 def _build_key(age_s: float) -> str:
-    """Build a UUIDv7 of an age at the beginning of a session."""
+    """Build a UUIDv7 that has an age at the start of a session."""
     timestamp = int((EPOCH_S - age_s) * 1000)
     return str(uuid.UUID(int=timestamp << 80 | 7 << 76 | 2 << 62 | 5))
 
 
 class KeyedCallTest(unittest.TestCase):
-    """Three nodes, one slot, one backend server."""
+    """Three nodes with one ledger slot and one backend server."""
 
     def test_resends_get_the_first_answer(self) -> None:
-        """At every node, after and during the first run."""
+        """Resends arrive at every node, during and after the first run."""
 
         async def scenario() -> None:
             session = _create_session()
@@ -83,7 +83,7 @@
         run_virtually(scenario())
 
     def test_key_of_another_request_is_refused(self) -> None:
-        """The same key with another body."""
+        """A key reused with another body is refused, and nothing runs."""
 
         async def scenario() -> None:
             session = _create_session()
@@ -94,8 +94,8 @@
 
         run_virtually(scenario())
 
-    def test_resend_after_a_slow_confirmation(self) -> None:
-        """The first caller gave up; its request ends and is not run again."""
+    def test_resend_after_the_deadline_of_the_caller(self) -> None:
+        """A request that outlives its caller's deadline is not run again."""
 
         async def scenario() -> None:
             session = _create_session(service_s=1.0)
@@ -116,7 +116,7 @@
         run_virtually(scenario())
 
     def test_store_outage_refuses_promptly(self) -> None:
-        """Nothing runs, the caller is told so, and later it runs once."""
+        """Nothing runs during the outage; a resend after it runs once."""
 
         async def scenario() -> None:
             for fault in (WriteFault.REFUSED, WriteFault.LOST):
@@ -136,8 +136,8 @@
 
         run_virtually(scenario())
 
-    def test_append_taken_with_its_answer_lost(self) -> None:
-        """Settled by reading back: it runs, once."""
+    def test_append_whose_answer_is_lost(self) -> None:
+        """Reading the log back settles it, and the request runs once."""
 
         async def scenario() -> None:
             session = _create_session()
@@ -149,14 +149,14 @@
 
         run_virtually(scenario())
 
-    def test_new_owner_never_runs_it_again(self) -> None:
-        """The owner is gone: its successor refuses with the truth."""
+    def test_new_owner_does_not_run_it_again(self) -> None:
+        """The owner is dead, so its successor answers ``may-have-run``."""
 
         async def scenario() -> None:
             session = _create_session()
             await _send(session, 'a', 'x')
             owner = _find_owner(session)
-            _tell_status(session, owner, MemberStatus.DEAD, _NAMES)
+            _set_status(session, owner, MemberStatus.DEAD, _NAMES)
             session.network.refusing.add(f'{owner}:2')
             other = next(name for name in _NAMES if name != owner)
             answer = await _send(session, other, 'x')
@@ -167,13 +167,13 @@
         run_virtually(scenario())
 
     def test_slot_moves_in_a_drain(self) -> None:
-        """The earlier owner still lives: its answer is recalled."""
+        """The previous owner is draining and still returns its answer."""
 
         async def scenario() -> None:
             session = _create_session()
             await _send(session, 'a', 'x')
             owner = _find_owner(session)
-            _tell_status(session, owner, MemberStatus.DRAINING, _NAMES)
+            _set_status(session, owner, MemberStatus.DRAINING, _NAMES)
             other = next(name for name in _NAMES if name != owner)
             answer = await _send(session, other, 'x')
             self.assertEqual((answer.status, answer.body), (200, b'x'))
@@ -182,14 +182,14 @@
         run_virtually(scenario())
 
     def test_paused_owner_starts_nothing(self) -> None:
-        """It wakes, believes to own the slot, collides and asks its successor."""
+        """A paused owner that resumes collides and asks its successor."""
 
         async def scenario() -> None:
             session = _create_session()
             await _send(session, 'a', 'x')
             owner = _find_owner(session)
             others = [name for name in _NAMES if name != owner]
-            _tell_status(session, owner, MemberStatus.SUSPECT, others)
+            _set_status(session, owner, MemberStatus.SUSPECT, others)
             other = next(name for name in _NAMES if name != owner)
             await _send(session, other, 'y', 'key-2')
             answer = await _send(session, owner, 'y', 'key-2')
@@ -199,7 +199,7 @@
         run_virtually(scenario())
 
     def test_ages_of_keys(self) -> None:
-        """A key that may be forgotten is refused, one of today runs."""
+        """Only a recent key runs; an expired or future one is refused."""
 
         async def scenario() -> None:
             session = _create_session()
--- a/merlintrail/node/tests/test_lost_answers.py
+++ b/merlintrail/node/tests/test_lost_answers.py
@@ -1,4 +1,4 @@
-"""A backend server that loses some of its answers keeps its calls."""
+"""A backend server that loses a single answer stays in use."""
 
 import unittest
 
@@ -15,10 +15,10 @@
 
 
 class LostAnswerTest(unittest.TestCase):
-    """One node, one backend server, and a caller at another node."""
+    """One backend server, called through another node."""
 
     def test_next_call_goes_to_the_same_server(self) -> None:
-        """The connection of one call was reset; the server is well."""
+        """The reset of one connection does not exclude a working server."""
 
         async def scenario() -> None:
             session = Session(_DOCUMENT, ('ingress', 'one'))
--- a/merlintrail/node/tests/test_outcomes.py
+++ b/merlintrail/node/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What callers are told when calls fail below, or too late."""
+"""Outcomes reported to callers when calls fail or time out."""
 
 import asyncio
 import unittest
@@ -20,9 +20,9 @@
 
 
 class DeadlineTest(unittest.TestCase):
-    """Deadlines and cancellation go down the chain."""
+    """Deadlines and cancellation propagate down the call chain."""
 
-    def test_deadline_is_told_at_once(self) -> None:
+    def test_deadline_is_reported_at_once(self) -> None:
         """The caller gets its answer at the deadline, not later."""
 
         async def scenario() -> None:
@@ -40,8 +40,8 @@
 
         run_virtually(scenario())
 
-    def test_work_below_stops_with_its_caller(self) -> None:
-        """A caller that leaves ends the calls two hops below."""
+    def test_cancellation_reaches_nested_calls(self) -> None:
+        """A caller that disconnects ends the calls two hops away."""
 
         async def scenario() -> None:
             document = build_document(
@@ -74,10 +74,10 @@
 
 
 class RetryTest(unittest.TestCase):
-    """Retries over the whole chain."""
+    """Limits on retries over the whole call tree."""
 
-    def test_thirteen_deep_with_a_failing_end(self) -> None:
-        """The last of 13 services is lost: at most two further attempts."""
+    def test_chain_of_thirteen_services_with_a_failing_end(self) -> None:
+        """The last of 13 services fails: at most two further attempts."""
 
         async def scenario() -> None:
             names = [f's{number}' for number in range(13)]
@@ -108,8 +108,8 @@
 
         run_virtually(scenario())
 
-    def test_own_repeats_of_a_backend_server_are_counted(self) -> None:
-        """A backend server that calls again and again runs out."""
+    def test_nested_calls_repeated_by_a_backend_server(self) -> None:
+        """Repeating a nested call uses up the retries of the request."""
 
         async def scenario() -> None:
             document = build_document(
@@ -136,11 +136,11 @@
         run_virtually(scenario())
 
 
-class HonestyTest(unittest.TestCase):
-    """What a backend server says is not believed against better knowledge."""
+class BackendOutcomeTest(unittest.TestCase):
+    """Outcomes stated by backend servers are checked by the node."""
 
     def test_not_run_of_a_server_that_made_calls(self) -> None:
-        """It says not-run, but a call below it has run."""
+        """``not-run`` is not accepted after a nested call has run."""
 
         async def scenario() -> None:
             document = build_document(
@@ -164,10 +164,10 @@
 
 
 class MetricLabelTest(unittest.TestCase):
-    """What callers invent does not become a label."""
+    """Names chosen by callers do not become metric labels."""
 
     def test_unknown_service_has_no_label(self) -> None:
-        """A request to it is counted without its name."""
+        """A request to an unknown service is counted without its name."""
 
         async def scenario() -> None:
             session = create_read_write_session('one')
