--- a/merlintrail/node/_backend_gateway.py
+++ b/merlintrail/node/_backend_gateway.py
@@ -33,6 +33,7 @@
 from merlintrail.transport import HttpResponse
 
 _MS_PER_S: Final = 1000
+#: States of a call that was received before and may have run.
 _STARTED_STATES: Final = frozenset(
     (InquiryState.RUNNING, InquiryState.FINISHED)
 )
--- a/merlintrail/node/_ingress.py
+++ b/merlintrail/node/_ingress.py
@@ -169,12 +169,12 @@
         self, refusal: Refusal, objective_ms: float | None
     ) -> Refusal:
         """Set the time after which a refused caller should retry."""
-        pause_s = compute_pause(
+        retry_after_s = compute_pause(
             refusal.retry_after_s,
             None if objective_ms is None else objective_ms / _MS_PER_S,
             self._deps.rng.random(),
         )
-        return refusal._replace(retry_after_s=pause_s)
+        return refusal._replace(retry_after_s=retry_after_s)
 
     def _check_caller(self, call: OutgoingCall) -> Refusal | None:
         configuration = self._deps.holder.current
