--- a/merlintrail/node/_answers.py
+++ b/merlintrail/node/_answers.py
@@ -1,6 +1,6 @@
-"""Answers of other nodes, read and combined."""
+"""Reading the answers of other nodes and combining refusals."""
 
-from merlintrail.node._calls import GateResult
+from merlintrail.node._calls import GatewayResult
 from merlintrail.protocol import (
     REPORT_HEADER,
     CallHeader,
@@ -20,9 +20,10 @@
 ) -> Refusal:
     """Combine the refusals of two attempts of one call.
 
-    ``not-run`` is told only when it holds for every attempt.
+    The outcome is ``not-run`` only if it holds for every attempt.
 
-    :param is_sent: whether the later one comes from another attempt.
+    :param is_sent: whether the later refusal comes from an attempt that was
+        sent, rather than from the choice of a target.
     """
     if earlier is None:
         return later
@@ -35,11 +36,15 @@
 
 def read_peer_answer(
     header: CallHeader, answer: HttpResponse | Refusal
-) -> GateResult:
-    """Read what a peer answered, with the report that came along."""
+) -> GatewayResult:
+    """Decode the answer of a peer and its report."""
     if isinstance(answer, Refusal):
-        returned = header.retries if answer.outcome == Outcome.NOT_RUN else 0
-        return GateResult(answer, _build_silence(answer, returned))
+        returned_retries = (
+            header.retries if answer.outcome == Outcome.NOT_RUN else 0
+        )
+        return GatewayResult(
+            answer, _build_missing_report(answer, returned_retries)
+        )
     encoded = answer.find_header(REPORT_HEADER)
     report = (
         DecodeFailure('no report')
@@ -50,27 +55,29 @@
         refusal = Refusal(
             Outcome.MAY_HAVE_RUN, Reason.PEER_LOST, 'answer to another call'
         )
-        return GateResult(refusal, _build_silence(refusal, 0))
+        return GatewayResult(refusal, _build_missing_report(refusal, 0))
     if report.reason:
         refusal = Refusal(
             Outcome(report.outcome),
             Reason(report.reason),
             retry_after_s=float(answer.find_header('retry-after') or 1),
         )
-        return GateResult(refusal, report)
+        return GatewayResult(refusal, report)
     stripped = HttpResponse(
         answer.status, list_returned_headers(answer), answer.body
     )
-    return GateResult(stripped, report)
+    return GatewayResult(stripped, report)
 
 
-def _build_silence(refusal: Refusal, returned: int) -> CallReport:
-    """Build the report of a call that brought none."""
+def _build_missing_report(
+    refusal: Refusal, returned_retries: int
+) -> CallReport:
+    """Build the report of an attempt that returned none."""
     return CallReport(
         call_id='',
         outcome=refusal.outcome.value,
         reason=refusal.reason.value,
-        retries=returned,
+        retries=returned_retries,
         level=0,
         downstream_levels={},
         in_flight=0,
--- a/merlintrail/node/_gatekeeper.py
+++ b/merlintrail/node/_backend_gateway.py
@@ -1,4 +1,4 @@
-"""Admission to the backend servers beside this node, and running calls."""
+"""Gateway to the backend servers beside a node."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,11 +7,11 @@
 from merlintrail.node._backend_exchange import BackendExchange
 from merlintrail.node._backend_registry import BackendRegistry
 from merlintrail.node._calls import (
-    GateResult,
+    GatewayResult,
     OutgoingCall,
     build_peer_answer,
 )
-from merlintrail.node._contexts import ContextTable, ParentCall, name_sort
+from merlintrail.node._contexts import ContextTable, ParentCall, get_call_class
 from merlintrail.node._gate import AdmissionGate
 from merlintrail.node._suspect_quarantine import SuspectQuarantine
 from merlintrail.observability import NodeMetrics, log_decision
@@ -33,13 +33,14 @@
 from merlintrail.transport import HttpResponse
 
 _MS_PER_S: Final = 1000
+#: States of a call that was received before and may have run.
 _STARTED_STATES: Final = frozenset(
     (InquiryState.RUNNING, InquiryState.FINISHED)
 )
 
 
-class GateParts(NamedTuple):
-    """What a gatekeeper is made with."""
+class GatewayDependencies(NamedTuple):
+    """Dependencies of :class:`BackendGateway`."""
 
     node_id: str
     incarnation: int
@@ -54,67 +55,68 @@
     registry: BackendRegistry
 
 
-class Gatekeeper:
-    """Runs calls in the backend servers beside this node."""
+class BackendGateway:
+    """Admits calls to the backend servers beside this node and runs them.
 
-    def __init__(self, parts: GateParts) -> None:
-        self._parts = parts
-        self._clock = parts.clock
+    Each call runs at most once; its answer is kept for inquiries.
+    """
+
+    def __init__(self, dependencies: GatewayDependencies) -> None:
+        self._deps = dependencies
+        self._clock = dependencies.clock
         self._tasks: set[asyncio.Task[Any]] = set()
-        self.registry = parts.registry
-        #: Gates by service.
-        self.gates = parts.registry.gates
-        #: The next planned stop of this instance.
+        self.registry = dependencies.registry
+        #: Backend servers with their admission, by service.
+        self.gates = dependencies.registry.gates
+        #: Next planned stop of this instance, if any.
         self.planned_stop: PlannedStop | None = None
-        #: Whether this node no longer takes calls.
+        #: Whether this node is draining and refuses new calls.
         self.is_draining = False
 
     @property
     def running(self) -> int:
-        """Calls in the backend servers or queued for them."""
+        """Number of calls in the backend servers or queued for them."""
         return sum(
             gate.admission.running + gate.admission.queued
             for gate in self.gates.values()
         )
 
     def update_configuration(self, configuration: Configuration) -> None:
-        """Take a new configuration."""
-        self._parts.suspicions.expiry_s = configuration.quarantine_expiry_s
+        """Apply a new configuration."""
+        self._deps.suspicions.expiry_s = configuration.quarantine_expiry_s
         self.registry.update_configuration(configuration)
 
     async def refresh_hints(self) -> None:
-        """Look at the endpoints of every backend server."""
+        """Poll the health and load endpoints of every backend server."""
         for gate in tuple(self.gates.values()):
-            await self._parts.exchange.prober.read_hints(gate.backend)
+            await self._deps.exchange.prober.read_hints(gate.backend)
 
     async def handle_call(
         self, header: CallHeader, call: OutgoingCall
-    ) -> GateResult:
-        """Run a call, once, and keep its answer for inquiries."""
-        state = self._parts.calls.begin(header.call_id)
+    ) -> GatewayResult:
+        """Run a call at most once and keep its answer for inquiries."""
+        state = self._deps.calls.begin(header.call_id)
         if state is not None:
-            return self._refuse_repeated(header, state)
+            return self._refuse_seen_call(header, state)
         deadline = self._clock() + header.deadline_ms / _MS_PER_S
-        parent = self._parts.contexts.open(header, deadline, call.headers)
+        parent = self._deps.contexts.open(header, deadline, call.headers)
         try:
             answer = await self._run(header, call, parent)
         except asyncio.CancelledError:
-            self._parts.calls.abandon(header.call_id)
+            self._deps.calls.abandon(header.call_id)
             self._log_cancellation(header, deadline)
             raise
         finally:
-            self._parts.contexts.close(parent)
+            self._deps.contexts.close(parent)
         report = self._build_report(header, parent, answer)
         if report.reason == Reason.BACKEND_LOST:
-            report = report._replace(
-                suspicion=self._parts.suspicions.find(call)
-            )
-        gate_result = GateResult(answer, report)
-        encoded = build_peer_answer(gate_result, header.request_id)
-        self._parts.calls.finish(header.call_id, encoded)
-        gate_result = gate_result._replace(encoded=encoded)
-        self._record(header, gate_result)
-        return gate_result
+            report = report._replace(suspicion=self._deps.suspicions.find(call))
+        gateway_result = GatewayResult(answer, report)
+        encoded = build_peer_answer(gateway_result, header.request_id)
+        self._deps.calls.finish(header.call_id, encoded)
+        gateway_result = gateway_result._replace(encoded=encoded)
+        self._record(header, gateway_result)
+        return gateway_result
 
     async def _run(
         self, header: CallHeader, call: OutgoingCall, parent: ParentCall
@@ -123,8 +125,8 @@
         refusal = self._check(header, gate)
         if refusal is not None or gate is None:
             return refusal or Refusal(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
-        self._parts.suspicions.take(header.suspicion)
-        suspicion = self._parts.suspicions.find(call)
+        self._deps.suspicions.take(header.suspicion)
+        suspicion = self._deps.suspicions.find(call)
         if suspicion is None:
             return await self._admit(gate, call, parent)
         if suspicion.is_convicted:
@@ -136,7 +138,7 @@
         async with gate.suspect_lock:
             answer = await self._admit(gate, call, parent)
         if isinstance(answer, HttpResponse):
-            self._parts.suspicions.clear_suspect(suspicion)
+            self._deps.suspicions.clear_suspect(suspicion)
         return answer
 
     async def _admit(
@@ -146,20 +148,23 @@
         refusal = await gate.admission.admit(_build_claim(parent))
         if refusal is not None:
             return refusal
-        exchange = self._parts.exchange
+        exchange = self._deps.exchange
         try:
             if header.is_idempotent:
                 return await exchange.run(gate, call, parent)
             running = asyncio.create_task(exchange.run(gate, call, parent))
-            self._keep_task(running)
-            return await self._wait_to_end(running)
+            self._track_task(running)
+            return await self._wait_for_completion(running)
         finally:
             gate.admission.release()
 
-    async def _wait_to_end(
+    async def _wait_for_completion(
         self, running: 'asyncio.Task[HttpResponse | Refusal]'
     ) -> HttpResponse | Refusal:
-        """Let a non-idempotent call end even when its caller has gone."""
+        """Wait until a non-idempotent call ends, even when cancelled.
+
+        It is not interrupted when its sender disconnects.
+        """
         try:
             return await asyncio.shield(running)
         except asyncio.CancelledError:
@@ -170,7 +175,7 @@
         self, header: CallHeader, gate: AdmissionGate | None
     ) -> Refusal | None:
         remaining_s = header.deadline_ms / _MS_PER_S
-        if header.incarnation != self._parts.incarnation:
+        if header.incarnation != self._deps.incarnation:
             return Refusal(Outcome.NOT_RUN, Reason.STALE_INCARNATION)
         if self.is_draining:
             return Refusal(Outcome.NOT_RUN, Reason.DRAINING)
@@ -180,24 +185,24 @@
         if refusal is not None:
             return refusal
         if overlaps_planned_stop(
-            self.planned_stop, self._parts.wall_clock(), remaining_s
+            self.planned_stop, self._deps.wall_clock(), remaining_s
         ):
             return Refusal(Outcome.NOT_RUN, Reason.PLANNED_STOP)
         return None
 
-    def _refuse_repeated(
+    def _refuse_seen_call(
         self, header: CallHeader, state: InquiryState
-    ) -> GateResult:
-        """Refuse a call that was seen already, or that came too late."""
+    ) -> GatewayResult:
+        """Refuse a duplicate, or a call that an inquiry has tombstoned."""
         if state in _STARTED_STATES:
             refusal = Refusal(Outcome.MAY_HAVE_RUN, Reason.DUPLICATE_CALL)
         else:
             refusal = Refusal(Outcome.NOT_RUN, Reason.TOMBSTONE)
         parent = ParentCall('', header, 0.0)
         report = self._build_report(header, parent, refusal)
-        gate_result = GateResult(refusal, report)
-        self._record(header, gate_result)
-        return gate_result
+        gateway_result = GatewayResult(refusal, report)
+        self._record(header, gateway_result)
+        return gateway_result
 
     def _build_report(
         self,
@@ -224,16 +229,21 @@
             if gate is None
             else round(gate.admission.service_s * _MS_PER_S, 1),
             self.is_draining or (gate is not None and gate.backend.is_draining),
-            not (parent.has_failed_below and (is_refused or parent.has_failed)),
+            not (
+                parent.has_failed_nested_call
+                and (is_refused or parent.has_failed)
+            ),
             is_failure=parent.has_failed,
             nested_calls=parent.nested_calls,
         )
 
-    def _record(self, header: CallHeader, gate_result: GateResult) -> None:
-        report = gate_result.report
-        answer = gate_result.answer
+    def _record(
+        self, header: CallHeader, gateway_result: GatewayResult
+    ) -> None:
+        report = gateway_result.report
+        answer = gateway_result.answer
         detail = answer.detail if isinstance(answer, Refusal) else ''
-        self._parts.metrics.record_call(
+        self._deps.metrics.record_call(
             header.service, report.outcome, report.reason
         )
         log_decision(
@@ -241,7 +251,7 @@
             request_id=header.request_id,
             call_id=header.call_id,
             service=header.service,
-            instance=self._parts.node_id,
+            instance=self._deps.node_id,
             outcome=report.outcome,
             reason=report.reason,
             detail=detail or None,
@@ -251,18 +261,18 @@
         )
 
     def _log_cancellation(self, header: CallHeader, deadline: float) -> None:
-        """Tell that whoever sent the call no longer waits for it."""
+        """Log that the sender of a call no longer waits for it."""
         remaining_s = deadline - self._clock()
         log_decision(
             'cancel',
             request_id=header.request_id,
             call_id=header.call_id,
             service=header.service,
-            instance=self._parts.node_id,
+            instance=self._deps.node_id,
             remaining_ms=round(remaining_s * _MS_PER_S, 1),
         )
 
-    def _keep_task(self, task: 'asyncio.Task[Any]') -> None:
+    def _track_task(self, task: 'asyncio.Task[Any]') -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -277,5 +287,5 @@
         parent.deadline,
         header.depth > 1,
         objective_s,
-        name_sort(header),
+        get_call_class(header),
     )
--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -1,4 +1,4 @@
-"""The parts that a call passes through at one node, put together."""
+"""Assembly of the components that a call passes through at a node."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -9,15 +9,21 @@
     SlotParts,
     create_ledger,
 )
-from merlintrail.node._backend_exchange import BackendExchange, ExchangeParts
+from merlintrail.node._backend_exchange import (
+    BackendExchange,
+    BackendExchangeDependencies,
+)
+from merlintrail.node._backend_gateway import (
+    BackendGateway,
+    GatewayDependencies,
+)
 from merlintrail.node._backend_registry import BackendRegistry
 from merlintrail.node._contexts import ContextTable
-from merlintrail.node._dispatch import Dispatcher, DispatchParts
+from merlintrail.node._dispatch import Dispatcher, DispatcherDependencies
 from merlintrail.node._environment import Environment
 from merlintrail.node._exchange import PeerExchange
-from merlintrail.node._gatekeeper import Gatekeeper, GateParts
-from merlintrail.node._ingress import Ingress, IngressParts
-from merlintrail.node._keyed import KeyedCalls, KeyedParts
+from merlintrail.node._ingress import Ingress, IngressDependencies
+from merlintrail.node._keyed import KeyedCalls, KeyedCallsDependencies
 from merlintrail.node._settings import Settings
 from merlintrail.node._suspect_quarantine import SuspectQuarantine
 from merlintrail.observability import NodeMetrics
@@ -33,8 +39,8 @@
 from merlintrail.transport import ConnectionPool
 
 
-class PathParts(NamedTuple):
-    """What a call path is made with."""
+class CallPathDependencies(NamedTuple):
+    """Dependencies of :class:`CallPath`."""
 
     settings: Settings
     incarnation: int
@@ -47,42 +53,45 @@
     #: Connections for calls to nodes and backend servers.
     pool: ConnectionPool
     metrics: NodeMetrics
-    #: Told when a backend server's readiness changes.
+    #: Called when the readiness of a backend server changes.
     on_change: Callable[[], None]
-    #: Returns the service of this instance, empty while unknown.
+    #: Returns the service of this instance, or an empty string if unknown.
     find_own_service: Callable[[], str]
 
 
 class CallPath(NamedTuple):
-    """A request meets these from the ingress to the backend server."""
+    """Components that a request passes through, from ingress to gateway."""
 
     ingress: Ingress
     keyed: KeyedCalls
     dispatcher: Dispatcher
     routing: RoutingTable
-    gatekeeper: Gatekeeper
-    #: Calls that run in the own backend server, and those that it makes.
+    gateway: BackendGateway
+    #: Calls running in the local backend servers, by context token.
     contexts: ContextTable
-    #: Calls that other nodes sent, for their inquiries.
+    #: Calls received lately, so that other nodes can query their outcome.
     calls: CallTable
     suspicions: SuspectQuarantine
 
 
-def create_call_path(parts: PathParts) -> CallPath:
-    """Create the parts from the backend server outwards."""
-    environment = parts.environment
-    settings = parts.settings
+def create_call_path(dependencies: CallPathDependencies) -> CallPath:
+    """Create the components, from the backend server outwards."""
+    environment = dependencies.environment
+    settings = dependencies.settings
     suspicions = SuspectQuarantine(
-        parts.quarantine,
+        dependencies.quarantine,
         environment.wall_clock,
-        parts.membership.tell_suspicions,
-        f'{settings.instance}/{parts.incarnation}',
+        dependencies.membership.tell_suspicions,
+        f'{settings.instance}/{dependencies.incarnation}',
     )
     contexts = ContextTable(environment.dialect, environment.rng)
     calls = CallTable(environment.clock)
-    gatekeeper = _create_gatekeeper(parts, suspicions, contexts, calls)
+    gateway = _create_gateway(dependencies, suspicions, contexts, calls)
     exchange = PeerExchange(
-        parts.pool, parts.peers, settings.fleet_key, environment.clock
+        dependencies.pool,
+        dependencies.peers,
+        settings.fleet_key,
+        environment.clock,
     )
     routing = RoutingTable(
         NodeLocation(settings.instance, settings.data_centre),
@@ -90,31 +99,31 @@
         environment.rng,
     )
     dispatcher = Dispatcher(
-        DispatchParts(
+        DispatcherDependencies(
             settings.instance,
-            parts.holder,
+            dependencies.holder,
             routing,
             exchange,
-            gatekeeper,
-            parts.metrics,
+            gateway,
+            dependencies.metrics,
             suspicions,
             environment.clock,
             environment.rng,
         )
     )
-    keyed = _create_keyed(parts, dispatcher, exchange)
+    keyed = _create_keyed(dependencies, dispatcher, exchange)
     ingress = Ingress(
-        IngressParts(
+        IngressDependencies(
             settings.instance,
             settings.data_centre,
-            parts.holder,
+            dependencies.holder,
             contexts,
             dispatcher,
             keyed,
             suspicions,
-            parts.metrics,
+            dependencies.metrics,
             environment.dialect,
-            parts.find_own_service,
+            dependencies.find_own_service,
             environment.clock,
             environment.wall_clock,
             environment.rng,
@@ -125,72 +134,76 @@
         keyed,
         dispatcher,
         routing,
-        gatekeeper,
+        gateway,
         contexts,
         calls,
         suspicions,
     )
 
 
-def _create_gatekeeper(
-    parts: PathParts,
+def _create_gateway(
+    dependencies: CallPathDependencies,
     suspicions: SuspectQuarantine,
     contexts: ContextTable,
     calls: CallTable,
-) -> Gatekeeper:
-    environment = parts.environment
-    instance = parts.settings.instance
+) -> BackendGateway:
+    environment = dependencies.environment
+    instance = dependencies.settings.instance
     exchange = BackendExchange(
-        ExchangeParts(
+        BackendExchangeDependencies(
             instance,
-            parts.pool,
+            dependencies.pool,
             environment.dialect,
             suspicions,
             environment.clock,
-            parts.on_change,
+            dependencies.on_change,
         )
     )
-    return Gatekeeper(
-        GateParts(
+    return BackendGateway(
+        GatewayDependencies(
             instance,
-            parts.incarnation,
+            dependencies.incarnation,
             exchange,
             calls,
             contexts,
             suspicions,
-            parts.metrics,
+            dependencies.metrics,
             environment.clock,
             environment.wall_clock,
             BackendRegistry(
-                environment.clock, environment.wall_clock, parts.on_change
+                environment.clock,
+                environment.wall_clock,
+                dependencies.on_change,
             ),
         )
     )
 
 
 def _create_keyed(
-    parts: PathParts, dispatcher: Dispatcher, exchange: PeerExchange
+    dependencies: CallPathDependencies,
+    dispatcher: Dispatcher,
+    exchange: PeerExchange,
 ) -> KeyedCalls:
-    environment = parts.environment
-    instance = parts.settings.instance
+    environment = dependencies.environment
+    instance = dependencies.settings.instance
     keyed = KeyedCalls(
-        KeyedParts(
+        KeyedCallsDependencies(
             instance,
-            parts.holder,
-            parts.table,
+            dependencies.holder,
+            dependencies.table,
             dispatcher,
             exchange,
-            parts.peers,
+            dependencies.peers,
             environment.clock,
             environment.wall_clock,
             environment.rng,
         )
     )
-    slot_parts = SlotParts(
+    slot_dependencies = SlotParts(
         environment.store,
         instance,
         environment.wall_clock,
         lambda: create_id(environment.rng),
     )
-    keyed.attach(create_ledger(slot_parts, keyed.recall))
+    keyed.attach(create_ledger(slot_dependencies, keyed.recall))
     return keyed
--- a/merlintrail/node/_lifecycle.py
+++ b/merlintrail/node/_lifecycle.py
@@ -5,7 +5,7 @@
 from typing import Final, NamedTuple
 
 from merlintrail.coordination import Heartbeats, Membership
-from merlintrail.node._gatekeeper import Gatekeeper
+from merlintrail.node._backend_gateway import BackendGateway
 from merlintrail.node._ingress import Ingress
 from merlintrail.observability import log_decision
 from merlintrail.state import (
@@ -46,7 +46,7 @@
     holder: ConfigurationHolder
     membership: Membership
     heartbeats: Heartbeats
-    gatekeeper: Gatekeeper
+    gateway: BackendGateway
     ingress: Ingress
     wall_clock: Callable[[], float]
 
@@ -103,7 +103,7 @@
             self._deps.data_centre,
             now,
         )
-        self._deps.gatekeeper.planned_stop = stop
+        self._deps.gateway.planned_stop = stop
         if stop is not None and self._compute_drain_time(stop) <= now:
             self.start_drain(f'planned stop {stop.stop_id}')
 
@@ -123,14 +123,14 @@
         await asyncio.sleep(max(0.0, serve_s - DRAIN_NOTICE_S))
         self._deps.membership.update_own(status=MemberStatus.DRAINING)
         await asyncio.sleep(min(DRAIN_NOTICE_S, serve_s))
-        self._deps.gatekeeper.is_draining = True
+        self._deps.gateway.is_draining = True
         self._deps.ingress.is_closed = True
         await self._end_when_idle(
             grace_s * (1 - SERVING_SHARE - EXIT_RESERVE_SHARE)
         )
 
     async def _drain_and_stop(self) -> None:
-        self._deps.gatekeeper.is_draining = True
+        self._deps.gateway.is_draining = True
         self._deps.membership.update_own(status=MemberStatus.DRAINING)
         await asyncio.sleep(DRAIN_PROPAGATION_S)
         await self._end_when_idle(MAX_DRAIN_S)
@@ -160,6 +160,6 @@
     async def _wait_until_idle(self) -> None:
         quiet_checks = 0
         while quiet_checks < 2:
-            running = self._deps.gatekeeper.running + self._deps.ingress.running
+            running = self._deps.gateway.running + self._deps.ingress.running
             quiet_checks = 0 if running else quiet_checks + 1
             await asyncio.sleep(CHECK_INTERVAL_S)
--- a/merlintrail/node/_retry_policy.py
+++ b/merlintrail/node/_retry_policy.py
@@ -1,10 +1,10 @@
-"""Whether a call that failed or was refused is sent again."""
+"""Decisions on whether a failed or refused call is sent again."""
 
 import enum
 from collections.abc import Callable
 from typing import Final, NamedTuple
 
-from merlintrail.node._calls import GateResult, OutgoingCall
+from merlintrail.node._calls import GatewayResult, OutgoingCall
 from merlintrail.node._suspect_quarantine import SuspectQuarantine
 from merlintrail.protocol import (
     SUBLEVELS,
@@ -16,10 +16,10 @@
 from merlintrail.state import RetryBudgets
 from merlintrail.transport import HttpResponse
 
-#: Further nodes that a call is sent to before a backend server takes it.
+#: Maximum number of redirects of one call.
 MAX_REDIRECTS: Final = 2
-#: Reasons after which another backend server may do better.
-_ELSEWHERE: Final = frozenset(
+#: Refusal reasons after which another backend server may accept the call.
+_RETRYABLE_REASONS: Final = frozenset(
     (
         Reason.OVERLOAD,
         Reason.DEADLINE_UNREACHABLE,
@@ -36,46 +36,50 @@
         Reason.SUSPECT_ALREADY_RUNNING,
     )
 )
-#: Reasons of calls that a backend server was handed and did not run.
-_HANDED: Final = frozenset((Reason.BACKEND_REFUSED, Reason.BACKEND_DISPLACED))
+#: Refusal reasons that, with the outcome ``not-run``, mean that the call
+#: reached a backend server, which did not run it.
+_BACKEND_REJECTIONS: Final = frozenset(
+    (Reason.BACKEND_REFUSED, Reason.BACKEND_DISPLACED)
+)
 
 
 class Attempts(NamedTuple):
-    """Attempts that were made of one call."""
+    """Numbers of attempts made for one call."""
 
-    #: Those in which a backend server was handed the call, or may have been.
-    handed: int = 0
-    #: Those in which none was.
+    #: Attempts in which the call reached a backend server, or may have.
+    delivered: int = 0
+    #: Attempts in which it provably reached none.
     redirects: int = 0
 
-    def add(self, gate_result: GateResult) -> 'Attempts':
-        """Count one more attempt."""
-        answer = gate_result.answer
+    def add(self, gateway_result: GatewayResult) -> 'Attempts':
+        """Return the numbers with one more attempt."""
+        answer = gateway_result.answer
         if isinstance(answer, Refusal):
-            is_proved = answer.outcome == Outcome.NOT_RUN
-            if is_proved and answer.reason not in _HANDED:
+            is_proven_not_run = answer.outcome == Outcome.NOT_RUN
+            if is_proven_not_run and answer.reason not in _BACKEND_REJECTIONS:
                 return self._replace(redirects=self.redirects + 1)
-        return self._replace(handed=self.handed + 1)
+        return self._replace(delivered=self.delivered + 1)
 
 
 class RetryDecision(enum.StrEnum):
-    """Why a call is sent again, or is not."""
+    """Decision on sending a call again, with the reason."""
 
-    #: No backend server was handed the call: another is asked.
+    #: The call reached no backend server and goes to another one.
     REDIRECT = 'redirect'
-    #: The account and the budget had room.
+    #: The retry account and the retry budget allow a retry.
     RETRY = 'retry'
-    #: The report, the time left or a conviction rules it out.
+    #: The report excludes a retry, the deadline has passed, or the request
+    #: is quarantined.
     HOPELESS = 'hopeless'
-    #: The call may have run and must not run twice.
+    #: The call may have run and is not idempotent.
     NOT_IDEMPOTENT = 'not-idempotent'
-    #: Another backend server would refuse for the same reason.
+    #: Another backend server would refuse the call for the same reason.
     FINAL = 'final-reason'
-    #: It was sent to as many backend servers as the route allows.
+    #: The limit of the route on attempts, or that on redirects, is reached.
     NO_ATTEMPT_LEFT = 'no-attempt-left'
-    #: The request has no retry left.
+    #: The retry account of the request is empty.
     ACCOUNT_EMPTY = 'account-empty'
-    #: This node has sent as many retries to the service as it may.
+    #: The retry budget of this node for the service is used up.
     BUDGET_EMPTY = 'budget-empty'
 
     @property
@@ -85,11 +89,12 @@
 
 
 class RetryPolicy:
-    """Decides on further attempts, within the bounds on retries.
+    """Decides on further attempts, within the limits on retries.
 
-    A call that no backend server was handed yet is redirected; that is no
-    retry. A retry takes one from the request's account and, since it adds
-    to the load of a service, from the node's budget for that service.
+    After an attempt that reached no backend server the call is redirected,
+    which does not count as a retry. A retry is charged to the account of the
+    request and, because it adds load to the service, to the node's budget
+    for that service.
     """
 
     def __init__(
@@ -100,38 +105,47 @@
         self.budgets = RetryBudgets()
 
     def record_first_attempt(self, call: OutgoingCall) -> None:
-        """Credit the budget of the service."""
+        """Credit the retry budget of the service."""
         self.budgets.find(call.service).record_attempt()
 
     def decide(
-        self, call: OutgoingCall, gate_result: GateResult, made: Attempts
+        self,
+        call: OutgoingCall,
+        gateway_result: GatewayResult,
+        attempts: Attempts,
     ) -> RetryDecision:
-        """Decide whether to send a call again, and take what that costs."""
+        """Decide whether to send a call again, and charge a retry."""
         is_hopeless = (
-            not gate_result.report.may_retry
+            not gateway_result.report.may_retry
             or call.deadline <= self._clock()
             or self._suspicions.is_quarantined(call)
         )
         if is_hopeless:
             return RetryDecision.HOPELESS
-        answer = gate_result.answer
-        cost = 1.0 + gate_result.report.nested_calls
-        has_attempt = call.attempts is None or made.handed < call.attempts
-        is_proved = False
+        answer = gateway_result.answer
+        cost = 1.0 + gateway_result.report.nested_calls
+        has_attempt_left = (
+            call.max_attempts is None or attempts.delivered < call.max_attempts
+        )
+        is_proven_not_run = False
         if isinstance(answer, Refusal):
-            if answer.reason not in _ELSEWHERE:
+            if answer.reason not in _RETRYABLE_REASONS:
                 return RetryDecision.FINAL
-            is_proved = answer.outcome == Outcome.NOT_RUN
-            if is_proved and answer.reason not in _HANDED:
-                return _decide_redirect(made)
-        if not (is_proved or call.is_idempotent):
+            is_proven_not_run = answer.outcome == Outcome.NOT_RUN
+            if is_proven_not_run and answer.reason not in _BACKEND_REJECTIONS:
+                return _decide_redirect(attempts)
+        if not (is_proven_not_run or call.is_idempotent):
             return RetryDecision.NOT_IDEMPOTENT
-        if not has_attempt:
+        if not has_attempt_left:
             return RetryDecision.NO_ATTEMPT_LEFT
-        return self._take_retry(call, cost)
+        return self._spend_retry(call, cost)
+
+    def _spend_retry(self, call: OutgoingCall, cost: float) -> RetryDecision:
+        """Charge a retry to the account and the budget.
 
-    def _take_retry(self, call: OutgoingCall, cost: float) -> RetryDecision:
-        """Take a retry that will make about as many calls as before."""
+        :param cost: calls that the retry is expected to make, as many as
+            the last attempt made.
+        """
         if not call.account.spend():
             return RetryDecision.ACCOUNT_EMPTY
         budget = self.budgets.find(call.service)
@@ -142,24 +156,24 @@
         return RetryDecision.BUDGET_EMPTY
 
 
-def _decide_redirect(made: Attempts) -> RetryDecision:
-    if made.redirects <= MAX_REDIRECTS:
+def _decide_redirect(attempts: Attempts) -> RetryDecision:
+    if attempts.redirects <= MAX_REDIRECTS:
         return RetryDecision.REDIRECT
     return RetryDecision.NO_ATTEMPT_LEFT
 
 
-def has_failed_there(gate_result: GateResult) -> bool | None:
+def has_failed_in_backend(gateway_result: GatewayResult) -> bool | None:
     """Tell whether a call failed in its backend server.
 
-    :returns: ``None`` when the attempt tells nothing about it.
+    :returns: ``None`` when the attempt does not show it.
     """
-    answer = gate_result.answer
-    report = gate_result.report
+    answer = gateway_result.answer
+    report = gateway_result.report
     if isinstance(answer, HttpResponse):
-        is_own = report.may_retry
-        return is_own if report.is_failure else False
-    return True if _is_own_failure(answer) else None
+        is_own_failure = report.may_retry
+        return is_own_failure if report.is_failure else False
+    return True if _is_backend_failure(answer) else None
 
 
-def _is_own_failure(refusal: Refusal) -> bool:
+def _is_backend_failure(refusal: Refusal) -> bool:
     return refusal.reason in {Reason.BACKEND_REFUSED, Reason.BACKEND_LOST}
--- a/merlintrail/node/tests/test_hints.py
+++ b/merlintrail/node/tests/test_hints.py
@@ -1,4 +1,4 @@
-"""Health and load endpoints that lie change nothing."""
+"""Wrong health and load endpoints do not affect routing."""
 
 import asyncio
 import unittest
@@ -17,7 +17,7 @@
 
 
 def _create_session(health_status: int) -> Session:
-    """Create a session whose backend servers tell a health of their own."""
+    """Create a session with a health status of its backend servers."""
     session = Session(_DOCUMENT, ('ingress', 'one', 'two'))
     serve = answer_after(0.01)
 
@@ -30,7 +30,7 @@
 
     for name in ('one', 'two'):
         session.add_backend(name, 'svc', handle)
-        session.nodes[name].gatekeeper.registry.announce(
+        session.nodes[name].gateway.registry.announce(
             Announcement(
                 'svc',
                 f'{name}:svc',
@@ -44,7 +44,7 @@
 
 
 class HintTest(unittest.TestCase):
-    """What a node measures counts, whatever the endpoints say."""
+    """Connections and answers decide, not the polled endpoints."""
 
     def test_bad_health_of_a_server_that_works(self) -> None:
         """Every request is served; the hint is shown to operators."""
@@ -52,7 +52,7 @@
         async def scenario() -> None:
             session = _create_session(500)
             for name in ('one', 'two'):
-                await session.nodes[name].gatekeeper.refresh_hints()
+                await session.nodes[name].gateway.refresh_hints()
             await asyncio.sleep(10)
             for number in range(6):
                 answer = await session.call('ingress', '/svc/read', f'{number}')
@@ -63,19 +63,19 @@
 
         run_virtually(scenario())
 
-    def test_good_health_of_a_server_that_is_gone(self) -> None:
-        """It told good health 10 s ago; now connections are refused."""
+    def test_good_health_of_a_server_that_refuses_connections(self) -> None:
+        """It reported good health 10 s ago and now refuses connections."""
 
         async def scenario() -> None:
             session = _create_session(200)
             for name in ('one', 'two'):
-                await session.nodes[name].gatekeeper.refresh_hints()
+                await session.nodes[name].gateway.refresh_hints()
             await asyncio.sleep(10)
             session.network.refusing.add('one:svc')
             for number in range(6):
                 answer = await session.call('ingress', '/svc/read', f'{number}')
                 self.assertEqual(answer.status, 200)
-            backend = session.nodes['one'].gatekeeper.gates['svc'].backend
+            backend = session.nodes['one'].gateway.gates['svc'].backend
             self.assertTrue(backend.health_hint.startswith('200'))
             self.assertLessEqual(session.network.counts['one:svc'], 4)
 
