--- a/merlintrail/daemon/_main.py
+++ b/merlintrail/daemon/_main.py
@@ -13,7 +13,7 @@
 from absl import app, flags
 
 from merlintrail.console import start_console
-from merlintrail.daemon._process import create_process
+from merlintrail.daemon._runtime import create_process
 from merlintrail.daemon._reload import SettingsReloader
 from merlintrail.node import (
     InvalidSettings,
--- a/merlintrail/platform/tests/test_store_wire.py
+++ b/merlintrail/platform/tests/test_store_wire.py
@@ -16,7 +16,7 @@
 )
 from merlintrail.lab._store_state import StoreState
 from merlintrail.platform import PlatformStoreWire
-from merlintrail.platform.tests.platform_store import PlatformStore
+from merlintrail.platform.tests.fake_platform_store import PlatformStore
 from merlintrail.platform.tests.samples import CONTENT, SETTINGS
 from merlintrail.testing import ServerThread
 from merlintrail.transport import start_server
