--- a/merlintrail/daemon/__init__.py
+++ b/merlintrail/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The program ``merlintraild``."""
+"""The daemon ``merlintraild``, which runs one node as a process."""
 
 from merlintrail.daemon._main import run_daemon
 
--- a/merlintrail/daemon/_main.py
+++ b/merlintrail/daemon/_main.py
@@ -1,4 +1,4 @@
-"""Start and end of the daemon process."""
+"""Entry point, startup and shutdown of the daemon process."""
 
 import asyncio
 import gc
@@ -13,8 +13,8 @@
 from absl import app, flags
 
 from merlintrail.console import start_console
-from merlintrail.daemon._runtime import create_process
 from merlintrail.daemon._reload import SettingsReloader
+from merlintrail.daemon._runtime import create_runtime
 from merlintrail.node import (
     InvalidSettings,
     Node,
@@ -23,55 +23,59 @@
 )
 from merlintrail.observability import JsonLinesHandler, open_log
 
-#: Exit status for settings that have faults.
-EXIT_SETTINGS: Final = 2
-#: Exit status for an address that cannot be bound.
-EXIT_ADDRESS: Final = 3
-#: Seconds between writes of the gathered log lines.
-LOG_FLUSH_S: Final = 0.2
-#: Allocations between collections of the youngest generation.
-GC_THRESHOLD: Final = 50000
-#: Seconds that the thread of the console may hold the interpreter.
-SWITCH_INTERVAL_S: Final = 0.0005
-
-_SETTINGS: Final = flags.DEFINE_string(
+#: Exit status for a missing --settings flag, extra arguments, settings that
+#: cannot be read or are invalid, and a log file that cannot be opened.
+EXIT_INVALID_SETTINGS: Final = 2
+#: Exit status when a listening address cannot be bound.
+EXIT_CANNOT_LISTEN: Final = 3
+#: Seconds between flushes of the buffered log lines.
+LOG_FLUSH_INTERVAL_S: Final = 0.2
+#: Net allocations of container objects that trigger a collection of the
+#: youngest generation.
+GC_YOUNG_GENERATION_THRESHOLD: Final = 50000
+#: Thread switch interval of the interpreter in seconds: how long the thread of
+#: the console may hold the interpreter lock while the event loop waits for it.
+THREAD_SWITCH_INTERVAL_S: Final = 0.0005
+
+_SETTINGS_FLAG: Final = flags.DEFINE_string(
     'settings', None, 'Path of the JSON settings file.'
 )
-_CHECK: Final = flags.DEFINE_bool(
-    'check_settings', False, 'Check the settings, print findings, and end.'
+_CHECK_FLAG: Final = flags.DEFINE_bool(
+    'check_settings', False, 'Check the settings, print findings, and exit.'
 )
 
 
 def run_daemon() -> None:
-    """Run the program; the entry point ``merlintraild``."""
+    """Run the daemon; the console script ``merlintraild`` calls this."""
     app.run(_run)
 
 
 def _run(arguments: Sequence[str]) -> int:
-    if len(arguments) > 1 or _SETTINGS.value is None:
+    if len(arguments) > 1 or _SETTINGS_FLAG.value is None:
         sys.stderr.write(
             'usage: merlintraild --settings FILE [--check_settings]\n'
         )
-        return EXIT_SETTINGS
-    text = _read_settings(_SETTINGS.value)
-    settings = None if text is None else _check_settings(text)
+        return EXIT_INVALID_SETTINGS
+    text = _read_settings(_SETTINGS_FLAG.value)
+    settings = None if text is None else _parse_settings(text)
     if text is None or settings is None:
-        return EXIT_SETTINGS
-    if _CHECK.value:
-        sys.stdout.write(f'{_SETTINGS.value}: no findings\n')
+        return EXIT_INVALID_SETTINGS
+    if _CHECK_FLAG.value:
+        sys.stdout.write(f'{_SETTINGS_FLAG.value}: no findings\n')
         return 0
     try:
         log = open_log(settings.log_path, settings.log_level, settings.instance)
     except OSError as error:
         sys.stderr.write(f'{settings.log_path}: {error.strerror}\n')
-        return EXIT_SETTINGS
-    sys.setswitchinterval(SWITCH_INTERVAL_S)
-    gc.set_threshold(GC_THRESHOLD, 20, 100)
+        return EXIT_INVALID_SETTINGS
+    sys.setswitchinterval(THREAD_SWITCH_INTERVAL_S)
+    gc.set_threshold(GC_YOUNG_GENERATION_THRESHOLD, 20, 100)
     with log.applicationbound():
         status = uvloop.run(_serve(settings, text, log))
     log.flush()
     sys.stderr.flush()
-    # Threads of the console and of the store must not delay the end.
+    # Skip the interpreter's shutdown, which may wait for the threads of the
+    # console and of the store client.
     os._exit(status)
 
 
@@ -83,34 +87,37 @@
         return None
 
 
-def _check_settings(text: str) -> Settings | None:
+def _parse_settings(text: str) -> Settings | None:
     settings = parse_settings(text)
     if isinstance(settings, InvalidSettings):
         for finding in settings.findings:
-            sys.stderr.write(f'{_SETTINGS.value}: {finding}\n')
+            sys.stderr.write(f'{_SETTINGS_FLAG.value}: {finding}\n')
         return None
     return settings
 
 
 async def _serve(settings: Settings, text: str, log: JsonLinesHandler) -> int:
-    process = create_process(settings)
+    runtime = create_runtime(settings)
     loop = asyncio.get_running_loop()
-    reloader = SettingsReloader(str(_SETTINGS.value), text, process.apply)
-    node = process.node
-    loop.add_signal_handler(signal.SIGHUP, reloader.ask)
+    reloader = SettingsReloader(
+        str(_SETTINGS_FLAG.value), text, runtime.apply_settings
+    )
+    node = runtime.node
+    loop.add_signal_handler(signal.SIGHUP, reloader.request_reload)
     loop.add_signal_handler(signal.SIGTERM, node.begin_stop, 'SIGTERM')
     loop.add_signal_handler(signal.SIGINT, node.lifecycle.stopped.set)
     try:
         await node.start()
-        await process.start_adapter()
+        await runtime.start_adapter()
         start_console(node, loop)
     except OSError as error:
         sys.stderr.write(f'cannot listen: {error}\n')
-        return EXIT_ADDRESS
+        return EXIT_CANNOT_LISTEN
     tasks = [
         loop.create_task(_flush_log(log)),
         loop.create_task(reloader.run()),
     ]
+    # Exclude the objects that the startup created from garbage collection.
     gc.freeze()
     await node.lifecycle.stopped.wait()
     for task in tasks:
@@ -121,7 +128,7 @@
 
 async def _flush_log(log: JsonLinesHandler) -> None:
     while True:
-        await asyncio.sleep(LOG_FLUSH_S)
+        await asyncio.sleep(LOG_FLUSH_INTERVAL_S)
         log.flush()
 
 
--- a/merlintrail/daemon/_reload.py
+++ b/merlintrail/daemon/_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while the process runs."""
+"""Reload of the settings file while the process runs."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,52 +8,57 @@
 from merlintrail.node import InvalidSettings, Settings, parse_settings
 from merlintrail.observability import create_logger
 
-#: Seconds between looks at the settings file.
-LOOK_INTERVAL_S: Final = 1.0
+#: Seconds between polls of the settings file.
+POLL_INTERVAL_S: Final = 1.0
 
 _LOG: Final = create_logger('daemon')
 
 
 class SettingsReloader:
-    """Follows the settings file, at a signal and when its content changes.
+    """Reloads the settings file on a signal and when its content changes.
 
-    Settings with faults are reported and change nothing.
+    Invalid settings are logged, and the settings in force stay unchanged.
     """
 
     def __init__(
-        self, path: str, text: str, apply: Callable[[Settings], None]
+        self, path: str, text: str, apply_settings: Callable[[Settings], None]
     ) -> None:
         """Create a reloader.
 
-        :param text: content that is in force.
-        :param apply: takes settings that are in order.
+        :param path: path of the settings file.
+        :param text: content of the file when the process started.
+        :param apply_settings: called with each valid version of the settings.
         """
         self._path = Path(path)
         self._text = text
-        self._apply = apply
-        self._is_asked = asyncio.Event()
+        self._apply_settings = apply_settings
+        self._reload_requested = asyncio.Event()
 
-    def ask(self) -> None:
-        """Have the file read now."""
-        self._is_asked.set()
+    def request_reload(self) -> None:
+        """Request an immediate reload, even if the file is unchanged."""
+        self._reload_requested.set()
 
     async def run(self) -> None:
-        """Follow the file until cancelled."""
+        """Poll the file and serve reload requests until cancelled."""
         while True:
-            is_signal = await self._wait()
-            self._look(is_signal=is_signal)
+            is_signal = await self._wait_for_request()
+            self._reload(is_signal=is_signal)
 
-    async def _wait(self) -> bool:
-        """Wait for the signal or the next look; tell whether it came."""
+    async def _wait_for_request(self) -> bool:
+        """Wait for a reload request, at most until the next poll.
+
+        :returns: whether a reload was requested.
+        """
         try:
-            async with asyncio.timeout(LOOK_INTERVAL_S):
-                await self._is_asked.wait()
+            async with asyncio.timeout(POLL_INTERVAL_S):
+                await self._reload_requested.wait()
         except TimeoutError:
             return False
-        self._is_asked.clear()
+        self._reload_requested.clear()
         return True
 
-    def _look(self, *, is_signal: bool) -> None:
+    def _reload(self, *, is_signal: bool) -> None:
+        """Apply the file if its content changed or a signal requested it."""
         try:
             text = self._path.read_text(encoding='utf-8')
         except (OSError, UnicodeDecodeError) as error:
@@ -67,10 +72,12 @@
         if isinstance(settings, InvalidSettings):
             _LOG.error(
                 'settings have faults; the earlier ones stay in force',
-                extra={'findings': [str(item) for item in settings.findings]},
+                extra={
+                    'findings': [str(finding) for finding in settings.findings]
+                },
             )
             return
-        self._apply(settings)
+        self._apply_settings(settings)
         _LOG.info(
             'settings reloaded',
             extra={'is_signal': is_signal, 'is_changed': is_changed},
--- a/merlintrail/daemon/_runtime.py
+++ b/merlintrail/daemon/_runtime.py
@@ -1,4 +1,4 @@
-"""A node with its adapter to the platform, as the daemon runs it."""
+"""Assembly of a node and its optional platform adapter for the daemon."""
 
 from merlintrail.coordination import create_http_store
 from merlintrail.node import Settings, create_environment, create_node
@@ -10,8 +10,8 @@
 )
 
 
-class Process:
-    """A node and its adapter to the platform, if it has one."""
+class NodeRuntime:
+    """A node and its platform adapter, if a platform is configured."""
 
     def __init__(self, settings: Settings, wire: PlatformStoreWire | None):
         self._wire = wire
@@ -21,7 +21,7 @@
         self.node = create_node(settings, create_environment(store, dialect))
 
     async def start_adapter(self) -> None:
-        """Listen for the platform.
+        """Start the listeners for the platform, if one is configured.
 
         :raises OSError: when an address cannot be bound.
         """
@@ -30,8 +30,12 @@
                 self.node, self.node.settings.platform
             )
 
-    def apply(self, settings: Settings) -> None:
-        """Take changed settings; addresses need a new start."""
+    def apply_settings(self, settings: Settings) -> None:
+        """Apply changed platform settings.
+
+        A restart is needed to change listening addresses and all settings
+        outside the platform section, and to add or remove the adapter.
+        """
         self.node.update_settings(settings)
         platform = settings.platform
         if platform is None or self._wire is None or self._adapter is None:
@@ -40,8 +44,8 @@
         self._adapter.update_settings(platform)
 
 
-def create_process(settings: Settings) -> Process:
-    """Choose how store, callers and backend servers are spoken to."""
+def create_runtime(settings: Settings) -> NodeRuntime:
+    """Create the node with the platform's or the native wire formats."""
     platform = settings.platform
     wire = None if platform is None else PlatformStoreWire(platform)
-    return Process(settings, wire)
+    return NodeRuntime(settings, wire)
--- a/merlintrail/platform/__init__.py
+++ b/merlintrail/platform/__init__.py
@@ -1,7 +1,8 @@
-"""Adapter to a deployment platform: its names and shapes, nothing else.
+"""Adapter to a deployment platform: translation of its wire formats.
 
-What arrives is decoded here, once, into the types of the product, and what
-leaves is encoded here. No other package names what the platform names.
+Incoming messages are decoded here, once, into merlintrail's own types, and
+outgoing messages are encoded here. No other package uses the platform's wire
+names.
 """
 
 from merlintrail.platform._adapter import PlatformAdapter, start_adapter
--- a/merlintrail/platform/_adapter.py
+++ b/merlintrail/platform/_adapter.py
@@ -1,9 +1,12 @@
-"""The listeners by which the platform speaks to a node."""
+"""Listeners for the platform's readiness checks and heartbeats."""
 
 from typing import Final
 
 from merlintrail.node import Node, PlatformSettings, split_host_port
-from merlintrail.platform._heartbeats import HeartbeatParts, HeartbeatService
+from merlintrail.platform._heartbeats import (
+    HeartbeatDependencies,
+    HeartbeatService,
+)
 from merlintrail.transport import (
     HttpRequest,
     HttpResponse,
@@ -18,23 +21,23 @@
 
 
 class PlatformAdapter:
-    """Answers readiness checks and heartbeats for one node."""
+    """Serves the platform's readiness checks and heartbeats for one node."""
 
     def __init__(self, node: Node, settings: PlatformSettings) -> None:
         self._node = node
         self._settings = settings
         self._servers: list[HttpServer] = []
         self._heartbeats = HeartbeatService(
-            HeartbeatParts(
+            HeartbeatDependencies(
                 node.gatekeeper.registry.announce,
                 node.gatekeeper.registry.dismiss,
-                self._is_service,
+                self._is_configured_service,
                 lambda: self._settings.backend_address,
             )
         )
 
     async def start(self) -> None:
-        """Listen.
+        """Start both listeners.
 
         :raises OSError: when an address cannot be bound.
         """
@@ -46,7 +49,7 @@
             self._servers.append(await start_server(handler, host, port))
 
     def update_settings(self, settings: PlatformSettings) -> None:
-        """Take changed settings."""
+        """Replace the settings; the listeners keep their addresses."""
         self._settings = settings
 
     def stop(self) -> None:
@@ -60,7 +63,12 @@
         is_ready = self._node.build_health()['is_ready']
         return _READY if is_ready else _NOT_READY
 
-    def _is_service(self, name: str) -> bool:
+    def _is_configured_service(self, name: str) -> bool:
+        """Return whether the configuration contains a service.
+
+        Until the first configuration arrives, the only one is the service that
+        the settings name for the backend server beside this node.
+        """
         configuration = self._node.holder.current
         if configuration is None:
             return name == self._settings.service
@@ -70,7 +78,7 @@
 async def start_adapter(
     node: Node, settings: PlatformSettings
 ) -> PlatformAdapter:
-    """Start the listeners of a node.
+    """Create the adapter of a node and start its listeners.
 
     :raises OSError: when an address cannot be bound.
     """
--- a/merlintrail/platform/_configuration.py
+++ b/merlintrail/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration on the platform, as our own document."""
+"""Translation of the platform's configuration into a merlintrail document."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, Final
@@ -6,25 +6,30 @@
 from merlintrail.node import PlatformSettings
 from merlintrail.protocol import parse_duration
 
-_FORMAT: Final = 1
-_VERSION_BASE: Final = 16
+_DOCUMENT_FORMAT: Final = 1
+#: ``Version`` is a hexadecimal number.
+_VERSION_RADIX: Final = 16
 _MS_PER_S: Final = 1000
-_IDEMPOTENT: Final = 'idempotent'
-#: Importance by rank, 0 the highest; lower ranks are of low importance.
-_IMPORTANCES: Final = ('critical', 'high', 'normal', 'low')
-#: Seconds over which a cold backend server gets its full share.
+#: ``Kind`` of idempotent routes; any other kind counts as not idempotent.
+_IDEMPOTENT_KIND: Final = 'idempotent'
+#: Importance by the platform's ``Priority``, of which 0 is the highest. Numbers
+#: outside the range are clamped to it.
+_IMPORTANCE_BY_PRIORITY: Final = ('critical', 'high', 'normal', 'low')
+#: Seconds over which a cold backend server ramps up to its full share of load.
 _WARMUP_S: Final = 3.0
 
 
 def build_envelope(
     content: Mapping[str, Any], settings: PlatformSettings
 ) -> Mapping[str, Any]:
-    """Build the envelope of our document from a stored configuration.
+    """Translate the platform's stored configuration into an envelope.
 
-    :raises LookupError, TypeError, ValueError: for another shape.
+    :param content: decoded value of the platform's configuration key.
+    :param settings: source of the regions and of the retry budget.
+    :raises LookupError, TypeError, ValueError: for a malformed configuration.
     """
     return {
-        'generation': int(content['Version'], _VERSION_BASE),
+        'generation': int(content['Version'], _VERSION_RADIX),
         'change_id': content['Version'],
         'operator': 'platform',
         'applied_at': 0.0,
@@ -38,7 +43,7 @@
     routes = [_build_route(route) for route in content['Routes']]
     routes.sort(key=lambda route: str(route['name']))
     document = {
-        'format': _FORMAT,
+        'format': _DOCUMENT_FORMAT,
         'services': [
             {'name': service['Name'], 'warmup_s': _WARMUP_S}
             for service in content['Services']
@@ -57,25 +62,25 @@
 
 
 def _build_route(route: Mapping[str, Any]) -> dict[str, Any]:
-    built = {
+    translated = {
         'name': route['Name'],
         'host': route['Host'],
         'prefix': route['Prefix'],
-        'importance': _read_importance(route.get('Priority', 0)),
-        'idempotent': route['Kind'] == _IDEMPOTENT,
-        'timeout_ms': _read_ms(route['Timeout']),
+        'importance': _translate_importance(route.get('Priority', 0)),
+        'idempotent': route['Kind'] == _IDEMPOTENT_KIND,
+        'timeout_ms': _parse_duration_ms(route['Timeout']),
         'attempts': max(1, route.get('MaxAttempts', 1)),
     }
     if 'TargetLatency' in route:
-        built['objective_ms'] = _read_ms(route['TargetLatency'])
+        translated['objective_ms'] = _parse_duration_ms(route['TargetLatency'])
     if 'Split' in route:
-        built['split'] = [
-            {'service': part['Service'], 'weight': part['Weight']}
-            for part in route['Split']
+        translated['split'] = [
+            {'service': share['Service'], 'weight': share['Weight']}
+            for share in route['Split']
         ]
     else:
-        built['service'] = route['Service']
-    return built
+        translated['service'] = route['Service']
+    return translated
 
 
 def _build_regions(regions: Mapping[str, str]) -> Sequence[Mapping[str, Any]]:
@@ -96,16 +101,18 @@
     return {
         'max_header_bytes': limits['MaxHeaderBytes'],
         'max_body_bytes': limits['MaxBodyBytes'],
-        'receive_timeout_ms': _read_ms(limits['HeaderTimeout']),
-        'idle_timeout_ms': _read_ms(limits['IdleTimeout']),
+        'receive_timeout_ms': _parse_duration_ms(limits['HeaderTimeout']),
+        'idle_timeout_ms': _parse_duration_ms(limits['IdleTimeout']),
     }
 
 
-def _read_importance(rank: int) -> str:
-    return _IMPORTANCES[min(max(rank, 0), len(_IMPORTANCES) - 1)]
+def _translate_importance(priority: int) -> str:
+    return _IMPORTANCE_BY_PRIORITY[
+        min(max(priority, 0), len(_IMPORTANCE_BY_PRIORITY) - 1)
+    ]
 
 
-def _read_ms(text: str) -> float:
+def _parse_duration_ms(text: str) -> float:
     seconds = parse_duration(text)
     if seconds is None:
         raise ValueError(f'not a duration: {text!r}')
--- a/merlintrail/platform/_dialect.py
+++ b/merlintrail/platform/_dialect.py
@@ -1,4 +1,4 @@
-"""Headers of the platform's callers and backend servers."""
+"""Headers that the platform's callers and backend servers exchange."""
 
 import random
 from collections.abc import Mapping
@@ -22,36 +22,41 @@
 )
 from merlintrail.transport import HeaderList, HttpRequest, HttpResponse
 
-#: Identifier of one attempt of a caller, echoed by the backend server.
-_ATTEMPT_ID: Final = 'attempt-id'
-#: Milliseconds for which the caller waits.
-_TIMEOUT: Final = 'timeout-ms'
-#: Identity that the backend server must have to run the request.
-_EXPECTED_IDENTITY: Final = 'expect-instance'
-#: Service of the instance at which the request began.
-_CALLER_SERVICE: Final = 'caller-service'
-#: Proof that the answer comes from a backend server that ran the request.
-_RECEIPT: Final = 'response-seal'
-#: States that the backend server did not run the request.
-_NOT_RUN: Final = 'not-executed'
-#: Running, waiting and slots of the backend server.
-_LOAD: Final = 'server-load'
-#: Headers that the node sets itself, whatever a caller sent.
-_SET_BY_NODE: Final = frozenset((_TIMEOUT, _EXPECTED_IDENTITY, _CALLER_SERVICE))
-#: Headers between backend server and node that callers need not see.
-_FOR_NODE: Final = frozenset((_LOAD, 'instance-id'))
+#: Identifier of one attempt of a caller; the backend server echoes it.
+_ATTEMPT_ID_HEADER: Final = 'attempt-id'
+#: Milliseconds until the caller stops waiting for the answer.
+_TIMEOUT_HEADER: Final = 'timeout-ms'
+#: Identity that the backend server must have to run the request. Despite the
+#: header's name this is a run of a backend server, not a machine.
+_EXPECTED_IDENTITY_HEADER: Final = 'expect-instance'
+#: Service of the instance at which the call began.
+_CALLER_SERVICE_HEADER: Final = 'caller-service'
+#: Proof of execution by the backend server. It must not be empty in a
+#: successful answer; its content is not verified.
+_EXECUTION_PROOF_HEADER: Final = 'response-seal'
+#: Present if the backend server did not run the request.
+_NOT_EXECUTED_HEADER: Final = 'not-executed'
+#: Load of the backend server: running requests, waiting requests, slots.
+_LOAD_HEADER: Final = 'server-load'
+#: Request headers that only the node may set. Values sent by callers are
+#: not forwarded.
+_HEADERS_SET_BY_NODE: Final = frozenset(
+    (_TIMEOUT_HEADER, _EXPECTED_IDENTITY_HEADER, _CALLER_SERVICE_HEADER)
+)
+#: Answer headers meant for the node, which are not passed to callers.
+_NODE_ONLY_HEADERS: Final = frozenset((_LOAD_HEADER, 'instance-id'))
 
 _MISDIRECTED_STATUS: Final = 421
-_FIRST_SERVER_ERROR: Final = 500
-_SUCCESS: Final = range(200, 300)
+_FIRST_SERVER_ERROR_STATUS: Final = 500
+_SUCCESS_STATUSES: Final = range(200, 300)
 _UNAVAILABLE_STATUS: Final = 503
 _MS_PER_S: Final = 1000
-#: Statuses of requests that did not run, other than 503.
+#: Statuses of requests that did not run; 503 for all other reasons.
 _NOT_RUN_STATUSES: Final[Mapping[Reason, int]] = {
     Reason.UNKNOWN_SERVICE: 404,
     Reason.BAD_REQUEST: 400,
 }
-#: Statuses of requests that may have run, other than 504.
+#: Statuses of requests that may have run; 504 for all other reasons.
 _MAY_HAVE_RUN_STATUSES: Final[Mapping[Reason, int]] = {
     Reason.BACKEND_LOST: 502,
     Reason.BACKEND_REFUSED: 502,
@@ -60,21 +65,22 @@
 
 
 class PlatformDialect(Dialect):
-    """The contract of the platform's callers and backend servers."""
+    """Dialect of the platform's callers and backend servers."""
 
     def read_caller(self, request: HttpRequest) -> CallerHeaders:
-        """Read identifier and timeout.
+        """Read the attempt's identifier and timeout.
 
-        A backend server's own call may name the call that it belongs to in
-        front of the last dot of its identifier. That is a hint: it counts
-        only while such a call runs in the node's own backend server.
+        A nested call may carry the identifier of its parent call before the
+        last dot of its own identifier. This is only a hint: it counts while
+        such a call runs in the node's own backend server, and is ignored
+        otherwise.
         """
         findings: list[str] = []
-        attempt_id = request.headers.get(_ATTEMPT_ID)
-        timeout = request.headers.get(_TIMEOUT)
+        attempt_id = request.headers.get(_ATTEMPT_ID_HEADER)
+        timeout = request.headers.get(_TIMEOUT_HEADER)
         timeout_ms: float | None = None
         if timeout is not None:
-            timeout_ms = _read_timeout(timeout, findings)
+            timeout_ms = _parse_timeout_ms(timeout, findings)
         parent = (attempt_id or '').rpartition('.')[0]
         return CallerHeaders(
             context=parent or None,
@@ -86,64 +92,74 @@
         )
 
     def list_forwarded(self, request: HttpRequest) -> HeaderList:
-        """Return all headers but those of the hop and what the node sets."""
+        """Return all headers except hop-by-hop, internal and node-set ones."""
         return [
             (name, text)
             for name, text in request.headers.items()
-            if _is_forwarded(name) and name not in _SET_BY_NODE
+            if _is_forwarded(name) and name not in _HEADERS_SET_BY_NODE
         ]
 
-    def create_token(self, headers: HeaderList, source: random.Random) -> str:
-        """Return the identifier of the attempt."""
+    def create_token(self, headers: HeaderList, rng: random.Random) -> str:
+        """Return the attempt's identifier, or a random one without it."""
         for name, text in headers:
-            if name == _ATTEMPT_ID:
+            if name == _ATTEMPT_ID_HEADER:
                 return text
-        return create_id(source)
+        return create_id(rng)
 
     def list_backend_headers(self, terms: BackendTerms) -> HeaderList:
-        """Return timeout, expected identity and the caller's service."""
+        """Return timeout, caller's service and expected identity, if any."""
         timeout_ms = max(1, int(terms.remaining_s * _MS_PER_S))
         headers = [
-            (_TIMEOUT, str(timeout_ms)),
-            (_CALLER_SERVICE, terms.caller_service),
+            (_TIMEOUT_HEADER, str(timeout_ms)),
+            (_CALLER_SERVICE_HEADER, terms.caller_service),
         ]
         if terms.identity is not None:
-            headers.append((_EXPECTED_IDENTITY, terms.identity))
+            headers.append((_EXPECTED_IDENTITY_HEADER, terms.identity))
         return headers
 
     def judge_answer(self, token: str, answer: HttpResponse) -> BackendVerdict:
-        """Tell what an answer is by its echo, its receipt and its status."""
-        echo = answer.find_header(_ATTEMPT_ID)
+        """Classify an answer by its echoed identifier, status and proof.
+
+        A success counts as an answer to this call only if it echoes the
+        attempt's identifier and carries a proof of execution.
+        """
+        echo = answer.find_header(_ATTEMPT_ID_HEADER)
         if echo is not None and echo != token:
             return BackendVerdict.FOREIGN
         if answer.status == _MISDIRECTED_STATUS:
             return BackendVerdict.MISDIRECTED
-        if answer.find_header(_NOT_RUN) is not None:
+        if answer.find_header(_NOT_EXECUTED_HEADER) is not None:
             return BackendVerdict.NOT_RUN
-        if answer.status >= _FIRST_SERVER_ERROR:
+        if answer.status >= _FIRST_SERVER_ERROR_STATUS:
             return BackendVerdict.FAILED
-        is_success = answer.status in _SUCCESS
-        if is_success and (echo is None or not answer.find_header(_RECEIPT)):
+        is_success = answer.status in _SUCCESS_STATUSES
+        if is_success and (
+            echo is None or not answer.find_header(_EXECUTION_PROOF_HEADER)
+        ):
             return BackendVerdict.FOREIGN
         return BackendVerdict.ANSWERED
 
     def read_load(self, answer: HttpResponse) -> BackendLoad | None:
-        """Read running, waiting and slots."""
-        return parse_load(answer.find_header(_LOAD))
+        """Read the load header."""
+        return parse_load(answer.find_header(_LOAD_HEADER))
 
     def build_answer(
         self, answer: HttpResponse, request_id: str
     ) -> HttpResponse:
-        """Return the backend server's answer as it is."""
+        """Drop hop-by-hop, internal and node-only headers from an answer."""
         headers = [
             (name, text)
             for name, text in answer.headers
-            if _is_forwarded(name) and name not in _FOR_NODE
+            if _is_forwarded(name) and name not in _NODE_ONLY_HEADERS
         ]
         return HttpResponse(answer.status, headers, answer.body)
 
     def build_refusal(self, refusal: Refusal, request_id: str) -> HttpResponse:
-        """Promise by the status that a request has not run, or nothing."""
+        """Build a refusal whose status tells whether the request may have run.
+
+        The statuses 400, 404 and 503 guarantee that it did not run; 502 and
+        504 leave it open.
+        """
         headers = [
             ('content-type', 'application/json'),
             (REASON_HEADER, refusal.reason.value),
@@ -167,10 +183,10 @@
     return _MAY_HAVE_RUN_STATUSES.get(refusal.reason, _TIMEOUT_STATUS)
 
 
-def _read_timeout(text: str, findings: list[str]) -> float | None:
+def _parse_timeout_ms(text: str, findings: list[str]) -> float | None:
     if text.isdigit() and int(text) > 0:
         return float(text)
-    findings.append(f'{_TIMEOUT}: not a positive whole number')
+    findings.append(f'{_TIMEOUT_HEADER}: not a positive whole number')
     return None
 
 
--- a/merlintrail/platform/_store_wire.py
+++ b/merlintrail/platform/_store_wire.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as our store interface."""
+"""Wire format of the platform's metadata store."""
 
 import base64
 from typing import Any, Final
@@ -21,20 +21,25 @@
 from merlintrail.platform._configuration import build_envelope
 from merlintrail.protocol import DecodeFailure, decode_json, encode_json
 
-#: Key under which the operator's configuration lies.
-_OPERATOR_KEY: Final = 'op/config'
-#: Prefix of the keys that belong to merlintrail.
-_OWN_PREFIX: Final = 'merlintrail/'
-#: Milliseconds of the longest watch.
-_MAX_WAIT_MS: Final = 30000
+#: Key of the configuration that operators write on the platform.
+_OPERATOR_CONFIGURATION_KEY: Final = 'op/config'
+#: Prefix of merlintrail's own keys.
+_MERLINTRAIL_KEY_PREFIX: Final = 'merlintrail/'
+#: Longest time in milliseconds for which a watch may wait for changes.
+_MAX_WATCH_MS: Final = 30000
 _MS_PER_S: Final = 1000
 
 
 class PlatformStoreWire(StoreWire):
-    """Spells the calls as the platform's store takes them."""
+    """Encodes store calls as HTTP requests to the platform's store.
+
+    The configuration is read from the platform's own key and translated into
+    a merlintrail document. All other keys carry merlintrail's prefix.
+    """
 
     def __init__(self, settings: PlatformSettings) -> None:
-        #: Settings from which the document is completed.
+        #: Platform settings that complete the configuration: regions and retry
+        #: budget.
         self.settings = settings
 
     def build_read(self, key: str) -> StoreCall[StoreValue]:
@@ -61,7 +66,8 @@
         )
 
     def build_transaction(self, transaction: Transaction) -> StoreCall[int]:
-        """Build a conditional change."""
+        """Build a conditional change of several keys."""
+        # The platform's leases are numbers; 0 stands for no lease.
         lease = int(transaction.lease or 0)
         puts = [
             {
@@ -92,12 +98,15 @@
     def build_watch(
         self, prefix: str, position: int, timeout_s: float
     ) -> StoreCall[StoreItems]:
-        """Build the wait for changes under a prefix."""
+        """Build the wait for changes under a prefix.
+
+        :param position: store revision after which changes are returned.
+        """
         query = urlencode(
             {
                 'Prefix': _encode_key(prefix),
                 'after': position,
-                'WaitMs': min(_MAX_WAIT_MS, int(timeout_s * _MS_PER_S)),
+                'WaitMs': min(_MAX_WATCH_MS, int(timeout_s * _MS_PER_S)),
             }
         )
         return StoreCall(
@@ -127,25 +136,31 @@
         )
 
     def build_revocation(self, lease: str) -> StoreCall[None]:
-        """Build the end of a lease."""
+        """Build the revocation of a lease."""
         return StoreCall('DELETE', f'/kv-lease-end/{lease}', ignore_answer)
 
     def _read_value(self, answer: Any) -> StoreValue:
-        found = self._read_item(answer)
-        return StoreValue(found.document, found.version)
+        item = self._read_item(answer)
+        return StoreValue(item.document, item.version)
 
     def _read_page(self, answer: Any) -> StorePage:
+        """Read one page; a truncated one continues after its last key."""
         listing = self._read_items(answer, 'items')
         last = answer['items'][-1]['Key'] if answer['Truncated'] else None
         return StorePage(listing, None if last is None else _decode_key(last))
 
-    def _read_items(self, answer: Any, member: str) -> StoreItems:
+    def _read_items(self, answer: Any, list_field: str) -> StoreItems:
+        """Read items; ``AsOf`` is the revision from which to watch on."""
         return StoreItems(
-            tuple(self._read_item(entry) for entry in answer[member]),
+            tuple(self._read_item(entry) for entry in answer[list_field]),
             answer['AsOf'],
         )
 
     def _read_item(self, entry: Any) -> StoreItem:
+        """Read one item; the document of a removed key is ``None``.
+
+        :raises LookupError, TypeError, ValueError: for a malformed item.
+        """
         key = _decode_key(entry['Key'])
         if entry.get('Tombstone'):
             return StoreItem(key, None, entry['Revision'])
@@ -158,10 +173,14 @@
 
 
 def _encode_key(key: str) -> str:
-    return _OPERATOR_KEY if key == CONFIGURATION_KEY else f'{_OWN_PREFIX}{key}'
+    return (
+        _OPERATOR_CONFIGURATION_KEY
+        if key == CONFIGURATION_KEY
+        else f'{_MERLINTRAIL_KEY_PREFIX}{key}'
+    )
 
 
 def _decode_key(key: str) -> str:
-    if key == _OPERATOR_KEY:
+    if key == _OPERATOR_CONFIGURATION_KEY:
         return CONFIGURATION_KEY
-    return key.removeprefix(_OWN_PREFIX)
+    return key.removeprefix(_MERLINTRAIL_KEY_PREFIX)
--- a/merlintrail/platform/tests/samples.py
+++ b/merlintrail/platform/tests/samples.py
@@ -1,4 +1,4 @@
-"""Samples of what the platform says."""
+"""Sample settings and a sample configuration of the platform."""
 
 from collections.abc import Mapping
 from typing import Any, Final
@@ -17,7 +17,9 @@
     retry_window_s=10.0,
 )
 
-CONTENT: Final[Mapping[str, Any]] = {
+#: An operator's configuration in the platform's format. ``Unknown`` and some
+#: other fields are ignored by the translation.
+CONFIGURATION: Final[Mapping[str, Any]] = {
     'Version': '00000007',
     'Routes': [
         {
--- a/merlintrail/platform/tests/test_adapter.py
+++ b/merlintrail/platform/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""What the platform says becomes our own types, and the reverse."""
+"""Tests of the translation between wire formats and merlintrail's types."""
 
 import re
 import unittest
@@ -14,11 +14,11 @@
 from merlintrail.platform import PlatformDialect
 from merlintrail.platform._configuration import build_envelope
 from merlintrail.platform._heartbeats import (
-    HeartbeatParts,
+    HeartbeatDependencies,
     HeartbeatService,
     read_heartbeat,
 )
-from merlintrail.platform.tests.samples import CONTENT, SETTINGS
+from merlintrail.platform.tests.samples import CONFIGURATION, SETTINGS
 from merlintrail.protocol import (
     BackendTerms,
     BackendVerdict,
@@ -34,25 +34,30 @@
 _DIALECT: Final = PlatformDialect()
 _TOKEN: Final = '9c41d07b'
 _ECHO: Final = ('attempt-id', _TOKEN)
-_RECEIPT: Final = ('response-seal', '3e1b.07')
-_VERDICTS: Final = (
-    ('success', 200, (_ECHO, _RECEIPT), BackendVerdict.ANSWERED),
-    ('not found there', 404, (_ECHO, _RECEIPT), BackendVerdict.ANSWERED),
-    ('no receipt', 200, (_ECHO,), BackendVerdict.FOREIGN),
-    ('no echo', 200, (_RECEIPT,), BackendVerdict.FOREIGN),
+_EXECUTION_PROOF: Final = ('response-seal', '3e1b.07')
+_ANSWER_CASES: Final = (
+    ('success', 200, (_ECHO, _EXECUTION_PROOF), BackendVerdict.ANSWERED),
     (
-        'echo of another',
+        'client error',
+        404,
+        (_ECHO, _EXECUTION_PROOF),
+        BackendVerdict.ANSWERED,
+    ),
+    ('no proof of execution', 200, (_ECHO,), BackendVerdict.FOREIGN),
+    ('no echo', 200, (_EXECUTION_PROOF,), BackendVerdict.FOREIGN),
+    (
+        'echo of another attempt',
         200,
-        (('attempt-id', 'other'), _RECEIPT),
+        (('attempt-id', 'other'), _EXECUTION_PROOF),
         BackendVerdict.FOREIGN,
     ),
-    ('failed', 500, (_ECHO, _RECEIPT), BackendVerdict.FAILED),
-    ('timed out', 504, (_ECHO, _RECEIPT), BackendVerdict.FAILED),
-    ('shed', 503, (('not-executed', '1'),), BackendVerdict.NOT_RUN),
-    ('unproved', 503, (_ECHO,), BackendVerdict.FAILED),
-    ('another server', 421, (), BackendVerdict.MISDIRECTED),
+    ('server error', 500, (_ECHO, _EXECUTION_PROOF), BackendVerdict.FAILED),
+    ('timeout', 504, (_ECHO, _EXECUTION_PROOF), BackendVerdict.FAILED),
+    ('not executed', 503, (('not-executed', '1'),), BackendVerdict.NOT_RUN),
+    ('503 without not-executed', 503, (_ECHO,), BackendVerdict.FAILED),
+    ('misdirected', 421, (), BackendVerdict.MISDIRECTED),
 )
-_STATUSES: Final = (
+_REFUSAL_STATUSES: Final = (
     (Outcome.NOT_RUN, Reason.OVERLOAD, 503),
     (Outcome.NOT_RUN, Reason.DEADLINE, 503),
     (Outcome.NOT_RUN, Reason.QUARANTINED, 503),
@@ -65,7 +70,7 @@
     (Outcome.MAY_HAVE_RUN, Reason.BACKEND_REFUSED, 502),
     (Outcome.MAY_HAVE_RUN, Reason.OVERLOAD, 504),
 )
-_BEAT: Final[dict[str, Any]] = {
+_HEARTBEAT: Final[dict[str, Any]] = {
     'Service': 'vault',
     'Address': '127.0.0.1:3',
     'Zone': 'a1',
@@ -76,21 +81,21 @@
     'Sequence': 4,
     'born': 1000,
 }
-_BAD_BEATS: Final = (
+_INVALID_HEARTBEATS: Final = (
     ('not an object', [1]),
-    ('no service', {**_BEAT, 'Service': None}),
-    ('unknown state', {**_BEAT, 'State': 'asleep'}),
-    ('state of another type', {**_BEAT, 'State': 7}),
-    ('slots of another type', {**_BEAT, 'Slots': '36'}),
-    ('no slots', {**_BEAT, 'Slots': 0}),
-    ('address', {**_BEAT, 'Address': 'here'}),
-    ('sequence', {**_BEAT, 'Sequence': 'four'}),
-    ('start with a fraction', {**_BEAT, 'born': 1000.5}),
-    ('no start', {key: _BEAT[key] for key in _BEAT if key != 'born'}),
-    ('cold', {**_BEAT, 'ColdRemaining': 'long'}),
+    ('no service', {**_HEARTBEAT, 'Service': None}),
+    ('unknown state', {**_HEARTBEAT, 'State': 'asleep'}),
+    ('state of another type', {**_HEARTBEAT, 'State': 7}),
+    ('slots of another type', {**_HEARTBEAT, 'Slots': '36'}),
+    ('no slots', {**_HEARTBEAT, 'Slots': 0}),
+    ('address', {**_HEARTBEAT, 'Address': 'here'}),
+    ('sequence', {**_HEARTBEAT, 'Sequence': 'four'}),
+    ('fractional start', {**_HEARTBEAT, 'born': 1000.5}),
+    ('no start', {key: _HEARTBEAT[key] for key in _HEARTBEAT if key != 'born'}),
+    ('cold remaining', {**_HEARTBEAT, 'ColdRemaining': 'long'}),
 )
-#: Names of the platform's wire, which only the adapter may use.
-_WIRE_NAMES: Final = re.compile(
+#: Names of the platform's wire format, which only the adapter may use.
+_PLATFORM_WIRE_NAMES: Final = re.compile(
     'attempt-id|response-seal|not-executed|expect-instance|caller-service'
     '|server-load|instance-id|timeout-ms|kv-(key|range|watch|txn|lease|keep)'
     '|op/config|ColdRemaining|Instances[.](Heartbeat|Leave)',
@@ -98,36 +103,43 @@
 )
 
 
-def _request(**headers: str) -> HttpRequest:
-    named = {name.replace('_', '-'): text for name, text in headers.items()}
-    return HttpRequest('GET', '/x', named, b'')
+def _build_request(**headers: str) -> HttpRequest:
+    normalized = {
+        name.replace('_', '-'): text for name, text in headers.items()
+    }
+    return HttpRequest('GET', '/x', normalized, b'')
 
 
 class DialectTest(unittest.TestCase):
-    """Headers of callers and backend servers."""
+    """Headers and statuses exchanged with callers and backend servers."""
 
-    def test_answers_of_backend_servers(self) -> None:
-        """Echo, receipt and status tell what an answer is."""
-        for name, status, headers, verdict in _VERDICTS:
+    def test_classification_of_answers(self) -> None:
+        """Echo, proof of execution and status decide the class of an answer."""
+        for name, status, headers, expected in _ANSWER_CASES:
             with self.subTest(name):
                 answer = HttpResponse(status, headers, b'')
-                self.assertEqual(_DIALECT.judge_answer(_TOKEN, answer), verdict)
+                self.assertEqual(
+                    _DIALECT.judge_answer(_TOKEN, answer), expected
+                )
 
-    def test_statuses_promise_only_what_is_proved(self) -> None:
-        """503, 404 and 400 for what did not run, 502 and 504 for the rest."""
-        for outcome, reason, status in _STATUSES:
+    def test_refusal_statuses(self) -> None:
+        """A request that may have run never gets 503, 404 or 400.
+
+        Callers take these statuses as a guarantee that it did not run.
+        """
+        for outcome, reason, status in _REFUSAL_STATUSES:
             with self.subTest(f'{outcome} {reason}'):
                 answer = _DIALECT.build_refusal(
                     Refusal(outcome, reason, retry_after_s=0.25), 'id'
                 )
                 self.assertEqual(answer.status, status)
-                pause = answer.find_header('retry-after')
-                self.assertEqual(pause, '0.25' if status == 503 else None)
+                retry_after = answer.find_header('retry-after')
+                self.assertEqual(retry_after, '0.25' if status == 503 else None)
 
-    def test_what_callers_forge_goes_no_further(self) -> None:
-        """Timeout, expected identity and caller's service are the node's."""
+    def test_forged_headers_are_dropped(self) -> None:
+        """Callers cannot set headers that the node itself sends."""
         forwarded = _DIALECT.list_forwarded(
-            _request(
+            _build_request(
                 host='h',
                 attempt_id=_TOKEN,
                 timeout_ms='5',
@@ -152,57 +164,67 @@
             },
         )
 
-    def test_caller(self) -> None:
-        """Identifier, timeout, and the call that it may belong to."""
-        read = _DIALECT.read_caller(
-            _request(attempt_id='abc.1.def', timeout_ms='700')
+    def test_caller_headers(self) -> None:
+        """Identifier, timeout and a possible parent call are read."""
+        caller_headers = _DIALECT.read_caller(
+            _build_request(attempt_id='abc.1.def', timeout_ms='700')
         )
         self.assertEqual(
-            (read.request_id, read.deadline_ms, read.context),
+            (
+                caller_headers.request_id,
+                caller_headers.deadline_ms,
+                caller_headers.context,
+            ),
             ('abc.1.def', 700, 'abc.1'),
         )
-        self.assertFalse(read.is_context_certain)
+        self.assertFalse(caller_headers.is_context_certain)
         for text in ('', '-5', '1.5', 'soon', '0'):
             with self.subTest(text):
-                faulty = _DIALECT.read_caller(_request(timeout_ms=text))
-                self.assertTrue(faulty.findings)
+                invalid = _DIALECT.read_caller(_build_request(timeout_ms=text))
+                self.assertTrue(invalid.findings)
 
-    def test_load(self) -> None:
-        """Three numbers, anything else tells nothing."""
+    def test_load_header(self) -> None:
+        """The load is three numbers; any other form yields none."""
         for text, load in (('3,0,8', (3, 0, 8)), ('3,0', None), ('x', None)):
             answer = HttpResponse(200, (('server-load', text),), b'')
             self.assertEqual(_DIALECT.read_load(answer), load)
 
 
 class ConfigurationTest(unittest.TestCase):
-    """The operator's configuration as our document."""
+    """Translation of the operator's configuration into a document."""
 
     def test_document_is_valid_and_complete(self) -> None:
-        """Routes, splits, importance by rank, limits, regions."""
-        envelope = build_envelope(CONTENT, SETTINGS)
+        """Routes, splits, importance, limits and regions are translated."""
+        envelope = build_envelope(CONFIGURATION, SETTINGS)
         document = envelope['document']
         self.assertEqual(validate_document(document), [])
         configuration = build_configuration(document, 7, '')
-        found = configuration.routes.find('two.example', '/any/thing')
-        assert found is not None
-        self.assertEqual([share.weight for share in found.shares], [90, 10])
-        self.assertEqual(found.kind.importance.name, 'LOW')
-        self.assertEqual(found.kind.attempts, 3)
-        written = configuration.routes.find('one.example:80', '/write/x')
-        assert written is not None
-        self.assertFalse(written.kind.is_idempotent)
-        self.assertEqual(written.kind.objective_ms, 2000)
+        read_route = configuration.routes.find('two.example', '/any/thing')
+        assert read_route is not None
+        self.assertEqual(
+            [share.weight for share in read_route.shares], [90, 10]
+        )
+        self.assertEqual(read_route.kind.importance.name, 'LOW')
+        self.assertEqual(read_route.kind.attempts, 3)
+        write_route = configuration.routes.find('one.example:80', '/write/x')
+        assert write_route is not None
+        self.assertFalse(write_route.kind.is_idempotent)
+        self.assertEqual(write_route.kind.objective_ms, 2000)
         self.assertEqual(configuration.caller_limits.idle_timeout_ms, 15000)
         self.assertEqual(configuration.regions['a2'], 'a')
 
-    def test_other_shapes_are_refused(self) -> None:
-        """A missing member, a wrong duration, a wrong version."""
-        route = CONTENT['Routes'][0]
+    def test_invalid_configuration_raises(self) -> None:
+        """Missing fields, invalid durations and versions raise an error."""
+        route = CONFIGURATION['Routes'][0]
         for content in (
-            {**CONTENT, 'Version': 'x'},
-            {**CONTENT, 'Routes': [{**route, 'Timeout': '5'}]},
-            {**CONTENT, 'Routes': [{**route, 'Timeout': 5}]},
-            {key: CONTENT[key] for key in CONTENT if key != 'Services'},
+            {**CONFIGURATION, 'Version': 'x'},
+            {**CONFIGURATION, 'Routes': [{**route, 'Timeout': '5'}]},
+            {**CONFIGURATION, 'Routes': [{**route, 'Timeout': 5}]},
+            {
+                key: CONFIGURATION[key]
+                for key in CONFIGURATION
+                if key != 'Services'
+            },
         ):
             with self.assertRaises((LookupError, TypeError, ValueError)):
                 build_envelope(content, SETTINGS)
@@ -213,24 +235,26 @@
 
     def setUp(self) -> None:
         self.announced: list[Announcement] = []
-        self.dismissed: list[tuple[str, int | None]] = []
+        self.departures: list[tuple[str, int | None]] = []
         self.service = HeartbeatService(
-            HeartbeatParts(
+            HeartbeatDependencies(
                 self.announce,
-                self.dismiss,
+                self.record_departure,
                 lambda name: name == 'vault',
                 lambda: '127.0.0.1:3',
             )
         )
 
     def announce(self, announcement: Announcement) -> AnnouncementOrder:
-        """Keep an announcement."""
+        """Record an announcement."""
         self.announced.append(announcement)
         return AnnouncementOrder.RENEWAL
 
-    def dismiss(self, identity: str, started_at_ms: int | None) -> bool:
-        """Keep a leave."""
-        self.dismissed.append((identity, started_at_ms))
+    def record_departure(
+        self, identity: str, started_at_ms: int | None
+    ) -> bool:
+        """Record a departure."""
+        self.departures.append((identity, started_at_ms))
         return False
 
     def post(self, target: str, document: Any) -> int:
@@ -239,8 +263,8 @@
         return run_virtually(self.service.handle(request)).status
 
     def test_heartbeat(self) -> None:
-        """It becomes an announcement."""
-        self.assertEqual(self.post('/Instances.Heartbeat/i-1', _BEAT), 200)
+        """A valid heartbeat becomes an announcement."""
+        self.assertEqual(self.post('/Instances.Heartbeat/i-1', _HEARTBEAT), 200)
         self.assertEqual(
             self.announced,
             [
@@ -255,37 +279,45 @@
             ],
         )
 
-    def test_malformed_heartbeats_name_no_server(self) -> None:
-        """Each is answered with its findings and changes nothing."""
-        for name, document in _BAD_BEATS:
+    def test_invalid_heartbeats_are_rejected(self) -> None:
+        """They get status 400 and announce nothing.
+
+        Rejected as well are heartbeats of a service that is not configured and
+        of an address that is not beside the node.
+        """
+        for name, document in _INVALID_HEARTBEATS:
             with self.subTest(name):
-                read = read_heartbeat('i-1', document)
-                assert isinstance(read, InvalidAnnouncement), read
-                self.assertTrue(read.findings)
+                result = read_heartbeat('i-1', document)
+                assert isinstance(result, InvalidAnnouncement), result
+                self.assertTrue(result.findings)
                 status = self.post('/Instances.Heartbeat/i-1', document)
                 self.assertEqual(status, 400)
         for change in ({'Service': 'noter'}, {'Address': '127.0.0.1:9'}):
-            status = self.post('/Instances.Heartbeat/i', {**_BEAT, **change})
+            status = self.post(
+                '/Instances.Heartbeat/i', {**_HEARTBEAT, **change}
+            )
             self.assertEqual(status, 400)
         self.assertEqual(self.announced, [])
 
     def test_leave(self) -> None:
-        """It is taken also from a server that was not known."""
+        """A leave is accepted even if no such backend server is registered."""
         self.assertEqual(self.post('/Instances.Leave/i-1', {'born': 5}), 200)
         self.assertEqual(self.post('/Instances.Leave/i-2', {}), 200)
-        self.assertEqual(self.dismissed, [('i-1', 5), ('i-2', None)])
+        self.assertEqual(self.departures, [('i-1', 5), ('i-2', None)])
         self.assertEqual(self.post('/other', {}), 404)
 
 
 class BoundaryTest(unittest.TestCase):
-    """The platform's names stay in the adapter."""
+    """Only the adapter uses the platform's wire names."""
 
-    def test_no_wire_name_elsewhere(self) -> None:
-        """Neither in code nor in tests of other packages."""
+    def test_no_wire_names_in_other_packages(self) -> None:
+        """Neither code nor tests of other packages contain them."""
         root = Path(merlintrail.__file__).parent
         for path in sorted(root.rglob('*.py')):
             if 'platform' in path.relative_to(root).parts:
                 continue
             with self.subTest(str(path.relative_to(root))):
-                found = _WIRE_NAMES.search(path.read_text(encoding='utf-8'))
-                self.assertIsNone(found)
+                match = _PLATFORM_WIRE_NAMES.search(
+                    path.read_text(encoding='utf-8')
+                )
+                self.assertIsNone(match)
--- a/merlintrail/platform/tests/test_nested_calls.py
+++ b/merlintrail/platform/tests/test_nested_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a backend server, with and without a hint at their parent."""
+"""Nested calls, with and without a hint of the parent call."""
 
 import asyncio
 import unittest
@@ -39,67 +39,70 @@
     return HttpRequest('GET', f'/{name}/x', headers, b'', '127.0.0.1')
 
 
-def _answer(request: HttpRequest, status: int = 200) -> HttpResponse:
+def _build_answer(request: HttpRequest, status: int = 200) -> HttpResponse:
     echo = ('attempt-id', request.headers['attempt-id'])
     return HttpResponse(status, (echo, ('response-seal', 's')), b'done')
 
 
-def _create_session(child_id: str) -> Session:
-    """Create a chain whose upper server makes two calls below each."""
+def _create_session(id_template: str) -> Session:
+    """Create two services, of which ``upper`` makes two nested calls each time.
+
+    :param id_template: form of the attempt identifiers of the nested calls.
+    """
     session = Session(_DOCUMENT, ('upper', 'lower'), PlatformDialect())
 
     async def serve_upper(request: HttpRequest) -> HttpResponse:
         for number in range(2):
             parent = request.headers['attempt-id']
-            identifier = child_id.format(parent=parent, number=number)
+            nested_id = id_template.format(parent=parent, number=number)
             answer = await session.nodes['upper'].local_service.handle(
-                _build_request('lower', identifier)
+                _build_request('lower', nested_id)
             )
             if answer.status != 200:
-                return _answer(request, 500)
-        return _answer(request)
+                return _build_answer(request, 500)
+        return _build_answer(request)
 
     async def serve_lower(request: HttpRequest) -> HttpResponse:
         await asyncio.sleep(0.01)
-        return _answer(request)
+        return _build_answer(request)
 
     session.add_backend('upper', 'upper', serve_upper)
     session.add_backend('lower', 'lower', serve_lower)
     return session
 
 
-class CallsBelowTest(unittest.TestCase):
-    """A request that makes two calls."""
+class NestedCallsTest(unittest.TestCase):
+    """A request whose backend server makes two nested calls."""
 
-    def test_served_with_and_without_a_hint(self) -> None:
-        """Also with one that names a call that does not run here."""
-        for child_id in (
+    def test_parent_hint_is_optional(self) -> None:
+        """Nested calls succeed without a hint and with one of an unknown call."""
+        for id_template in (
             '{parent}.{number}',
             'unrelated{number}',
-            'gone.{number}',
+            'unknown.{number}',
         ):
-            with self.subTest(child_id):
-                run_virtually(self.serve(child_id))
+            with self.subTest(id_template):
+                run_virtually(self.serve_request(id_template))
 
-    async def serve(self, child_id: str) -> None:
-        """Serve one request and count what ran."""
-        session = _create_session(child_id)
+    async def serve_request(self, id_template: str) -> None:
+        """Serve one request and count the nested calls that ran."""
+        session = _create_session(id_template)
         answer = await session.nodes['upper'].local_service.handle(
             _build_request('upper', 'request-1')
         )
         self.assertEqual((answer.status, answer.body), (200, b'done'))
         self.assertEqual(session.executions['lower '], 2)
 
-    def test_caller_that_leaves_ends_its_calls(self) -> None:
-        """Known by the hint, the call below ends with its parent."""
+    def test_cancelled_request_cancels_nested_calls(self) -> None:
+        """A nested call that hints at its parent is cancelled with it."""
 
         async def scenario() -> None:
             session = _create_session('{parent}.{number}')
-            serving = asyncio.create_task(
+            call_task = asyncio.create_task(
                 session.call_with(_build_request('upper', 'request-1'))
             )
             await asyncio.sleep(0.006)
-            serving.cancel()
+            call_task.cancel()
             await asyncio.sleep(0.1)
             self.assertEqual(session.nodes['lower'].gatekeeper.running, 0)
             self.assertLessEqual(session.executions['lower '], 1)
--- a/merlintrail/platform/tests/test_store_wire.py
+++ b/merlintrail/platform/tests/test_store_wire.py
@@ -1,4 +1,4 @@
-"""The store client speaks to the platform's store by one more wire."""
+"""Tests of the store client with the wire format of the platform's store."""
 
 import threading
 import time
@@ -16,18 +16,18 @@
 )
 from merlintrail.lab._store_state import StoreState
 from merlintrail.platform import PlatformStoreWire
-from merlintrail.platform.tests.fake_platform_store import PlatformStore
-from merlintrail.platform.tests.samples import CONTENT, SETTINGS
+from merlintrail.platform.tests.fake_platform_store import FakePlatformStore
+from merlintrail.platform.tests.samples import CONFIGURATION, SETTINGS
 from merlintrail.testing import ServerThread
 from merlintrail.transport import start_server
 
 
 class PlatformStoreWireTest(unittest.TestCase):
-    """One stand-in on a thread of its own."""
+    """Store calls against a fake store that runs on its own thread."""
 
     def setUp(self) -> None:
         self.state = StoreState(time.monotonic)
-        store = PlatformStore(self.state)
+        store = FakePlatformStore(self.state)
         self.thread = ServerThread(
             lambda: start_server(store.handle, '127.0.0.1', 0)
         )
@@ -36,12 +36,12 @@
             [self.thread.address], PlatformStoreWire(SETTINGS)
         )
 
-    def operate(self, content: Any) -> None:
-        """Write the operator's configuration."""
+    def write_configuration(self, content: Any) -> None:
+        """Write the operator's configuration to the fake store."""
 
         async def write() -> None:
-            known = self.state.read('op/config')
-            version = 0 if known is None else known.version
+            stored = self.state.read('op/config')
+            version = 0 if stored is None else stored.version
             self.state.transact(
                 {'op/config': version}, {'op/config': content}, (), None
             )
@@ -49,12 +49,12 @@
         self.thread.call(write())
 
     def assert_fault(self, answer: object, fault: StoreFault) -> None:
-        """Check that a call failed in a certain way."""
+        """Check that a call failed with the given fault."""
         assert isinstance(answer, StoreFailure), answer
         self.assertEqual(answer.fault, fault)
 
     def test_compare_and_swap(self) -> None:
-        """Create, collide, read, remove."""
+        """A second create of a key conflicts; the key is read and removed."""
         version = self.client.write('relay/a/0', {'address': 'x'}, 0)
         assert isinstance(version, int), version
         self.assert_fault(
@@ -66,21 +66,21 @@
         self.assertIsNone(self.client.remove('relay/a/0', version))
         self.assert_fault(self.client.read('relay/a/0'), StoreFault.NOT_FOUND)
 
-    def test_range_over_pages(self) -> None:
-        """Every key under a prefix."""
+    def test_paged_range(self) -> None:
+        """A range returns the keys of all its pages."""
         for number in range(7):
             self.client.transact(
                 Transaction({f'relay/{number}': 0}, {f'relay/{number}': number})
             )
-        found = self.client.read_range('relay/', may_be_stale=True)
-        assert isinstance(found, StoreItems), found
+        listing = self.client.read_range('relay/', may_be_stale=True)
+        assert isinstance(listing, StoreItems), listing
         self.assertEqual(
-            [(entry.key, entry.document) for entry in found.entries],
-            [(f'relay/{place}', place) for place in range(7)],
+            [(entry.key, entry.document) for entry in listing.entries],
+            [(f'relay/{index}', index) for index in range(7)],
         )
 
     def test_leases(self) -> None:
-        """Keys go with their lease, and a lost lease writes nothing."""
+        """A revoked lease removes its keys and cannot be used any more."""
         lease = self.client.grant_lease(60)
         assert isinstance(lease, str)
         self.client.write('held', 1, 0, lease)
@@ -94,34 +94,36 @@
             self.client.write('held', 1, 0, lease), StoreFault.LEASE_EXPIRED
         )
 
-    def test_watch_tells_the_operators_configuration(self) -> None:
-        """It comes as an envelope of our own document."""
-        self.operate(CONTENT)
-        found = self.client.read_range(CONFIGURATION_KEY)
-        assert isinstance(found, StoreItems), found
-        self.assertEqual(found.entries[0].document['generation'], 7)
-        newer = {**CONTENT, 'Version': '0000000c'}
-        threading.Timer(0.05, self.operate, (newer,)).start()
-        changes = self.client.watch(CONFIGURATION_KEY, found.position, 20)
+    def test_watch_of_configuration(self) -> None:
+        """Range and watch return the configuration as an envelope."""
+        self.write_configuration(CONFIGURATION)
+        listing = self.client.read_range(CONFIGURATION_KEY)
+        assert isinstance(listing, StoreItems), listing
+        self.assertEqual(listing.entries[0].document['generation'], 7)
+        newer_configuration = {**CONFIGURATION, 'Version': '0000000c'}
+        threading.Timer(
+            0.05, self.write_configuration, (newer_configuration,)
+        ).start()
+        changes = self.client.watch(CONFIGURATION_KEY, listing.position, 20)
         assert isinstance(changes, StoreItems), changes
         self.assertEqual(
             [entry.document['generation'] for entry in changes.entries], [12]
         )
 
-    def test_history_that_is_lost(self) -> None:
-        """The caller is told to read again."""
-        self.operate(CONTENT)
+    def test_lost_history(self) -> None:
+        """A watch from a position whose changes are no longer kept fails."""
+        self.write_configuration(CONFIGURATION)
 
-        async def drop() -> None:
+        async def lose_history() -> None:
             self.state.drop_history()
 
-        self.thread.call(drop())
+        self.thread.call(lose_history())
         self.assert_fault(
             self.client.watch(CONFIGURATION_KEY, 1, 5), StoreFault.HISTORY_LOST
         )
 
-    def test_configuration_of_another_shape(self) -> None:
-        """It is a failure with a reason, and no value."""
-        self.operate({'Version': 'seven'})
+    def test_invalid_configuration(self) -> None:
+        """A configuration that cannot be translated is a failure, no value."""
+        self.write_configuration({'Version': 'seven'})
         answer = self.client.read(CONFIGURATION_KEY)
         self.assert_fault(answer, StoreFault.UNKNOWN)
