--- a/merlintrail/platform/tests/test_nested_calls.py
+++ b/merlintrail/platform/tests/test_nested_calls.py
@@ -75,7 +75,7 @@
     """A request whose backend server makes two nested calls."""
 
     def test_parent_hint_is_optional(self) -> None:
-        """Nested calls succeed without a hint and with one of an unknown call."""
+        """Nested calls succeed without a hint and with an unknown parent."""
         for id_template in (
             '{parent}.{number}',
             'unrelated{number}',
