--- a/merlintrail/console/_fleet.py
+++ b/merlintrail/console/_fleet.py
@@ -18,9 +18,9 @@
     """Ask every member for its state; a silent one is listed as such."""
     permits = asyncio.Semaphore(MAX_PARALLEL)
 
-    async def ask(member: Member) -> Mapping[str, Any]:
+    async def send_request(member: Member) -> Mapping[str, Any]:
         async with permits:
-            answer = await node.peers.ask(
+            answer = await node.peers.send_request(
                 member.peer_address, 'status', {}, timeout_s=TIMEOUT_S
             )
         if isinstance(answer, TransportFailure):
@@ -29,4 +29,4 @@
         return status
 
     members = node.table.list_present()
-    return await asyncio.gather(*(ask(member) for member in members))
+    return await asyncio.gather(*(send_request(member) for member in members))
--- a/merlintrail/coordination/__init__.py
+++ b/merlintrail/coordination/__init__.py
@@ -21,8 +21,8 @@
     find_slot,
     find_slot_owner,
 )
-from merlintrail.coordination._ledger_slot import LedgerSlot, SlotParts
-from merlintrail.coordination._membership import Knowledge, Membership
+from merlintrail.coordination._ledger_slot import LedgerSlot, SlotDependencies
+from merlintrail.coordination._membership import MembershipState, Membership
 from merlintrail.coordination._messages import Gossip
 from merlintrail.coordination._peers import (
     PEER_PATH,
@@ -68,14 +68,14 @@
     'HttpPeerClient',
     'HttpStore',
     'KeyedRequest',
-    'Knowledge',
+    'MembershipState',
     'Ledger',
     'LedgerSlot',
     'Membership',
     'PeerClient',
     'Relay',
     'RelayPlace',
-    'SlotParts',
+    'SlotDependencies',
     'Store',
     'StoreCall',
     'StoreClient',
--- a/merlintrail/coordination/_heartbeat.py
+++ b/merlintrail/coordination/_heartbeat.py
@@ -112,7 +112,7 @@
 
     async def join(self, address: str) -> bool:
         """Introduce this node to another and take over what it knows."""
-        answer = await self._peers.ask(
+        answer = await self._peers.send_request(
             address,
             'join',
             {'member': self._membership.own},
@@ -159,7 +159,7 @@
         hashes: dict[str, str] = {}
         if holder.envelope is not None:
             hashes = hash_sections(holder.envelope.document)
-        answer = await self._peers.ask(
+        answer = await self._peers.send_request(
             address,
             'configuration',
             {'hashes': hashes},
@@ -178,7 +178,7 @@
         for outbox in self._membership.outboxes.values():
             outbox.event.set()
 
-    async def tell_now(self) -> None:
+    async def flush_outboxes(self) -> None:
         """Send waiting news to every neighbour and wait for it."""
         await asyncio.gather(
             *(
@@ -215,7 +215,7 @@
         self, member: Member, *, is_fresh: bool
     ) -> Gossip | None:
         gossip = self._membership.build_gossip(member.node_id)
-        answer = await self._peers.ask(
+        answer = await self._peers.send_request(
             member.peer_address,
             'gossip',
             encode_gossip(gossip),
@@ -256,7 +256,7 @@
 
     async def _compare_tables(self, member: Member) -> None:
         buckets = self._membership.compute_buckets()
-        answer = await self._peers.ask(
+        answer = await self._peers.send_request(
             member.peer_address,
             'compare',
             {'sender': self._membership.own.node_id, 'buckets': buckets},
@@ -270,7 +270,7 @@
             known for known in self._membership.table if known.node_id in theirs
         ]
         self._membership.accept_members(received, member.node_id)
-        await self._peers.ask(
+        await self._peers.send_request(
             member.peer_address,
             'compare',
             {
@@ -350,7 +350,7 @@
             probe.add_done_callback(_discard_result)
 
     async def _probe(self, member: Member) -> None:
-        answer = await self._peers.ask(
+        answer = await self._peers.send_request(
             member.peer_address,
             'compare',
             {
--- a/merlintrail/coordination/_ledger.py
+++ b/merlintrail/coordination/_ledger.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from merlintrail.coordination._ledger_slot import LedgerSlot, SlotParts
+from merlintrail.coordination._ledger_slot import LedgerSlot, SlotDependencies
 from merlintrail.protocol import (
     Outcome,
     Reason,
@@ -109,7 +109,7 @@
 class Ledger:
     """The slots that this node owns, and the requests that run for them."""
 
-    def __init__(self, parts: SlotParts, recall: Recall) -> None:
+    def __init__(self, parts: SlotDependencies, recall: Recall) -> None:
         """Create a ledger without slots.
 
         :param recall: asks an earlier owner for the answer to a key.
@@ -270,6 +270,6 @@
     return Refusal(Outcome.NOT_RUN, Reason.LEDGER_UNAVAILABLE, detail)
 
 
-def create_ledger(parts: SlotParts, recall: Recall) -> Ledger:
+def create_ledger(parts: SlotDependencies, recall: Recall) -> Ledger:
     """Create a ledger that owns nothing yet."""
     return Ledger(parts, recall)
--- a/merlintrail/coordination/_ledger_slot.py
+++ b/merlintrail/coordination/_ledger_slot.py
@@ -31,7 +31,7 @@
 WRITE_BURST: Final = 4.0
 
 
-class SlotParts(NamedTuple):
+class SlotDependencies(NamedTuple):
     """What a slot is made with."""
 
     store: Store
@@ -62,7 +62,7 @@
     """
 
     def __init__(
-        self, parts: SlotParts, number: int, settings: LedgerSettings
+        self, parts: SlotDependencies, number: int, settings: LedgerSettings
     ) -> None:
         self._parts = parts
         self._number = number
--- a/merlintrail/coordination/_membership.py
+++ b/merlintrail/coordination/_membership.py
@@ -34,7 +34,7 @@
 BUCKETS: Final = 64
 
 
-class Knowledge(NamedTuple):
+class MembershipState(NamedTuple):
     """What the membership keeps up to date."""
 
     table: MemberTable
@@ -48,7 +48,7 @@
     def __init__(
         self,
         own: Member,
-        knowledge: Knowledge,
+        knowledge: MembershipState,
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
     ) -> None:
@@ -124,7 +124,7 @@
         """Take suspicions against requests."""
         self._merge_suspicions(read_suspicions(records), sender)
 
-    def tell_suspicions(self, suspicions: Iterable[Suspicion]) -> None:
+    def gossip_suspicions(self, suspicions: Iterable[Suspicion]) -> None:
         """Tell everybody of suspicions found here."""
         for suspicion in suspicions:
             for outbox in self.outboxes.values():
--- a/merlintrail/coordination/_peers.py
+++ b/merlintrail/coordination/_peers.py
@@ -24,7 +24,7 @@
     """Sends a message to another node."""
 
     @abc.abstractmethod
-    async def ask(
+    async def send_request(
         self,
         address: str,
         subject: str,
@@ -46,7 +46,7 @@
         self._pool = pool
         self._headers = ((FLEET_KEY_HEADER, fleet_key),)
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         subject: str,
--- a/merlintrail/coordination/_relay.py
+++ b/merlintrail/coordination/_relay.py
@@ -109,7 +109,7 @@
             self._pause_s = MIN_PAUSE_S
             await self._serve(lease)
 
-    async def fetch(self) -> StoreValue | StoreFailure:
+    async def fetch_configuration(self) -> StoreValue | StoreFailure:
         """Read the document from the store and offer it."""
         found = await self._store.read(CONFIGURATION_KEY)
         if isinstance(found, StoreValue):
--- a/merlintrail/coordination/tests/peer_world.py
+++ b/merlintrail/coordination/tests/peer_world.py
@@ -8,7 +8,7 @@
 
 from merlintrail.coordination import (
     Heartbeats,
-    Knowledge,
+    MembershipState,
     Membership,
     PeerClient,
 )
@@ -102,7 +102,7 @@
         self._world = world
         self._name = name
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         subject: str,
@@ -147,7 +147,7 @@
         )
         self.membership = Membership(
             own,
-            Knowledge(self.table, self.holder, self.quarantine),
+            MembershipState(self.table, self.holder, self.quarantine),
             clock,
             clock,
         )
--- a/merlintrail/coordination/tests/test_ledger_machine.py
+++ b/merlintrail/coordination/tests/test_ledger_machine.py
@@ -17,7 +17,7 @@
 from merlintrail.coordination import (
     KeyedRequest,
     Ledger,
-    SlotParts,
+    SlotDependencies,
     create_ledger,
 )
 from merlintrail.coordination.tests.fake_store import FakeStore, WriteFault
@@ -132,7 +132,9 @@
                 assert not self._executions[key]
 
     def _create_ledger(self, owner: str) -> Ledger:
-        parts = SlotParts(self._store, owner, lambda: 1.0e9, self._create_nonce)
+        parts = SlotDependencies(
+            self._store, owner, lambda: 1.0e9, self._create_nonce
+        )
         ledger = create_ledger(parts, self._recall)
         ledger.update_settings(LedgerSettings(slots=1, writes_per_s=1000))
         return ledger
--- a/merlintrail/coordination/tests/test_membership.py
+++ b/merlintrail/coordination/tests/test_membership.py
@@ -148,7 +148,7 @@
             first = world.nodes['n0']
             suspicion = Suspicion('bad', ('one', 'two'), True, 1.0e9)
             first.quarantine.merge(suspicion, 0.0)
-            first.membership.tell_suspicions([suspicion])
+            first.membership.gossip_suspicions([suspicion])
             await asyncio.sleep(1)
             for node in world.nodes.values():
                 self.assertTrue(node.quarantine.is_convicted('bad', 0.0))
--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -6,7 +6,7 @@
 from merlintrail.coordination import (
     HttpPeerClient,
     Membership,
-    SlotParts,
+    SlotDependencies,
     create_ledger,
 )
 from merlintrail.node._backend_exchange import BackendExchange, ExchangeParts
@@ -75,7 +75,7 @@
     suspicions = Suspicions(
         parts.quarantine,
         environment.wall_clock,
-        parts.membership.tell_suspicions,
+        parts.membership.gossip_suspicions,
         f'{settings.instance}/{parts.incarnation}',
     )
     contexts = ContextTable(environment.dialect, environment.source)
@@ -186,7 +186,7 @@
             environment.source,
         )
     )
-    slot_parts = SlotParts(
+    slot_parts = SlotDependencies(
         environment.store,
         instance,
         environment.wall_clock,
--- a/merlintrail/node/_exchange.py
+++ b/merlintrail/node/_exchange.py
@@ -166,7 +166,7 @@
     async def _inquire(
         self, member: Member, header: CallHeader
     ) -> InquiryAnswer | None:
-        answer = await self._peers.ask(
+        answer = await self._peers.send_request(
             member.peer_address,
             INQUIRY_SUBJECT,
             Inquiry(header.call_id, header.incarnation)._asdict(),
--- a/merlintrail/node/_joiner.py
+++ b/merlintrail/node/_joiner.py
@@ -57,7 +57,7 @@
     async def _try_fetch(self) -> bool:
         holder = self._parts.membership.holder
         if holder.current is None:
-            await self._parts.relay.fetch()
+            await self._parts.relay.fetch_configuration()
         return holder.current is not None
 
     async def _try_join(self) -> bool:
--- a/merlintrail/node/_keyed.py
+++ b/merlintrail/node/_keyed.py
@@ -156,7 +156,7 @@
         member = self._parts.table.find(record.owner)
         if member is None or member.is_gone:
             return None
-        answer = await self._parts.peers.ask(
+        answer = await self._parts.peers.send_request(
             member.peer_address,
             'recall',
             {'key': record.key},
--- a/merlintrail/node/_lifecycle.py
+++ b/merlintrail/node/_lifecycle.py
@@ -142,7 +142,7 @@
         self._parts.membership.update_own(status=MemberStatus.LEFT)
         try:
             async with asyncio.timeout(FAREWELL_S):
-                await self._parts.heartbeats.tell_now()
+                await self._parts.heartbeats.flush_outboxes()
         except TimeoutError:
             log_decision(
                 'drain',
--- a/merlintrail/node/_node.py
+++ b/merlintrail/node/_node.py
@@ -9,7 +9,7 @@
 from merlintrail.coordination import (
     Heartbeats,
     HttpPeerClient,
-    Knowledge,
+    MembershipState,
     Membership,
     Relay,
 )
@@ -229,7 +229,7 @@
         )
         self.membership = Membership(
             own,
-            Knowledge(self.table, self.holder, self.quarantine),
+            MembershipState(self.table, self.holder, self.quarantine),
             self._clock,
             self._wall_clock,
         )
