--- a/merlintrail/coordination/tests/test_membership.py
+++ b/merlintrail/coordination/tests/test_membership.py
@@ -7,7 +7,7 @@
 from merlintrail.coordination import (
     choose_neighbours,
 )
-from merlintrail.coordination.tests.peer_world import DOCUMENT, start_world
+from merlintrail.coordination.tests.peer_network import DOCUMENT, start_world
 from merlintrail.state import (
     Envelope,
     Member,
