--- a/merlintrail/coordination/__init__.py
+++ b/merlintrail/coordination/__init__.py
@@ -31,7 +31,7 @@
 )
 from merlintrail.coordination._relay import (
     Relay,
-    RelayPlace,
+    RelayAnnouncement,
     build_relay_key,
     find_relays,
 )
@@ -74,7 +74,7 @@
     'Membership',
     'PeerClient',
     'Relay',
-    'RelayPlace',
+    'RelayAnnouncement',
     'SlotDependencies',
     'Store',
     'StoreCall',
--- a/merlintrail/coordination/_changes.py
+++ b/merlintrail/coordination/_changes.py
@@ -17,7 +17,7 @@
 #: Prefix of earlier documents, by generation.
 HISTORY_PREFIX: Final = 'history/configuration/'
 #: Times that a write with a lost answer is settled by writing it again.
-MAX_SETTLING: Final = 5
+MAX_WRITE_ATTEMPTS: Final = 5
 
 
 class ChangeConflict(NamedTuple):
@@ -54,19 +54,19 @@
     client: StoreClient, key: str = CONFIGURATION_KEY
 ) -> StoredDocument | StoreFailure:
     """Read the document from the store."""
-    found = client.read(key)
-    if isinstance(found, StoreFailure):
-        if found.fault == StoreFault.NOT_FOUND:
+    value = client.read(key)
+    if isinstance(value, StoreFailure):
+        if value.fault == StoreFault.NOT_FOUND:
             return StoredDocument(create_empty_envelope(), 0)
-        return found
-    return _read_stored(found)
+        return value
+    return _read_stored(value)
 
 
-def _read_stored(found: StoreValue) -> StoredDocument | StoreFailure:
-    envelope = read_envelope(found.document)
+def _read_stored(value: StoreValue) -> StoredDocument | StoreFailure:
+    envelope = read_envelope(value.document)
     if isinstance(envelope, DecodeFailure):
         return StoreFailure(StoreFault.UNKNOWN, envelope.reason)
-    return StoredDocument(envelope, found.version)
+    return StoredDocument(envelope, value.version)
 
 
 def read_history(
@@ -110,7 +110,7 @@
     if isinstance(stored, StoreFailure):
         return stored
     if stored.envelope.generation != change.seen_generation:
-        return _judge_conflict(stored.envelope, change.change_id)
+        return _resolve_conflict(stored.envelope, change.change_id)
     envelope = Envelope(
         stored.envelope.generation + 1,
         change.change_id,
@@ -120,11 +120,11 @@
     )
     outcome = _write_envelope(client, envelope, stored.version)
     if isinstance(outcome, Envelope):
-        _keep_history(client, outcome)
+        _write_history(client, outcome)
     return outcome
 
 
-def _judge_conflict(
+def _resolve_conflict(
     current: Envelope, change_id: str
 ) -> Envelope | ChangeConflict:
     if current.change_id == change_id:
@@ -136,7 +136,7 @@
     client: StoreClient, envelope: Envelope, version: int
 ) -> Envelope | ChangeConflict | StoreFailure:
     written: int | StoreFailure = StoreFailure(StoreFault.UNKNOWN, '')
-    for _ in range(MAX_SETTLING):
+    for _ in range(MAX_WRITE_ATTEMPTS):
         written = client.write(CONFIGURATION_KEY, envelope._asdict(), version)
         if not isinstance(written, StoreFailure):
             return envelope
@@ -144,14 +144,14 @@
             stored = read_stored_document(client)
             if isinstance(stored, StoreFailure):
                 continue
-            return _judge_conflict(stored.envelope, envelope.change_id)
+            return _resolve_conflict(stored.envelope, envelope.change_id)
         if written.fault == StoreFault.UNAVAILABLE:
             return written
     assert isinstance(written, StoreFailure)
     return written
 
 
-def _keep_history(client: StoreClient, envelope: Envelope) -> None:
+def _write_history(client: StoreClient, envelope: Envelope) -> None:
     client.write(
         f'{HISTORY_PREFIX}{envelope.generation}', envelope._asdict(), 0
     )
--- a/merlintrail/coordination/_heartbeat.py
+++ b/merlintrail/coordination/_heartbeat.py
@@ -23,23 +23,23 @@
 #: Seconds between heartbeats to a neighbour without news.
 HEARTBEAT_INTERVAL_S: Final = 1.0
 #: The same to a neighbour in another data centre, where bytes are billed.
-REMOTE_INTERVAL_S: Final = 3.0
+REMOTE_HEARTBEAT_INTERVAL_S: Final = 3.0
 #: Seconds between tries after a failed heartbeat.
 RETRY_INTERVAL_S: Final = 0.3
 #: Seconds that news waits for more to go in the same message.
 BATCH_DELAY_S: Final = 0.02
 #: Seconds between messages while a neighbour is sent much news.
-FULL_MESSAGE_DELAY_S: Final = 0.2
+BACKLOG_DELAY_S: Final = 0.2
 #: Seconds to wait for the answer to a heartbeat.
 HEARTBEAT_TIMEOUT_S: Final = 0.7
 #: Seconds for which heartbeats fail before a neighbour is suspected.
-SUSPICION_S: Final = 1.5
+SUSPICION_TIMEOUT_S: Final = 1.5
 #: Seconds between sweeps over suspects and neighbours.
 SWEEP_INTERVAL_S: Final = 0.25
 #: Lateness of a task in seconds that shows this node was paused itself.
-PAUSE_S: Final = 1.0
+PAUSE_THRESHOLD_S: Final = 1.0
 #: Differing digests in a row before tables are compared.
-DIFFERENCES_TO_COMPARE: Final = 4
+MISMATCHES_BEFORE_COMPARISON: Final = 4
 #: Seconds between tries to reach a member that fell silent.
 PROBE_INTERVAL_S: Final = 10.0
 #: Seconds for a message with many records.
@@ -56,15 +56,15 @@
         membership: Membership,
         peers: PeerClient,
         clock: Callable[[], float],
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self._membership = membership
         self._peers = peers
         self._clock = clock
-        self._source = source
+        self._rng = rng
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._pull: asyncio.Task[None] | None = None
-        self._paused_at = -PAUSE_S
+        self._paused_at = -PAUSE_THRESHOLD_S
         self._next_probe_at = 0.0
         self._refreshed_digest = 0
 
@@ -75,7 +75,7 @@
             while True:
                 await asyncio.sleep(SWEEP_INTERVAL_S)
                 now = self._clock()
-                if now - swept_at > SWEEP_INTERVAL_S + PAUSE_S:
+                if now - swept_at > SWEEP_INTERVAL_S + PAUSE_THRESHOLD_S:
                     self._paused_at = now
                 swept_at = now
                 self._sweep(now)
@@ -97,7 +97,7 @@
             if node_id not in self._tasks:
                 self._membership.outboxes[node_id] = Outbox()
                 self._tasks[node_id] = asyncio.create_task(
-                    self._keep_touch(node_id)
+                    self._exchange_heartbeats(node_id)
                 )
 
     def handle_gossip(
@@ -107,7 +107,7 @@
         gossip = decode_record(Gossip, document)
         if isinstance(gossip, DecodeFailure):
             return gossip
-        self._take_gossip(gossip)
+        self._apply_gossip(gossip)
         return encode_gossip(self._membership.build_gossip(gossip.sender))
 
     async def join(self, address: str) -> bool:
@@ -141,8 +141,8 @@
         """Return the members of the parts in which two tables differ."""
         members = document.get('members', ())
         self._membership.accept_members(members, str(document.get('sender')))
-        different = self._membership.list_different(document.get('buckets', ()))
-        return {'members': different}
+        differing = self._membership.list_differing(document.get('buckets', ()))
+        return {'members': differing}
 
     def handle_configuration(
         self, document: dict[str, Any]
@@ -173,7 +173,7 @@
         envelope = merge_difference(difference, holder.envelope)
         return envelope is not None and holder.offer(envelope)
 
-    def spread(self) -> None:
+    def notify_neighbours(self) -> None:
         """Send to every neighbour at once, as after a new generation."""
         for outbox in self._membership.outboxes.values():
             outbox.event.set()
@@ -188,10 +188,10 @@
             )
         )
 
-    async def _keep_touch(self, node_id: str) -> None:
+    async def _exchange_heartbeats(self, node_id: str) -> None:
         failing_since = 0.0
         is_fresh = False
-        differences = 0
+        mismatches = 0
         while True:
             member = self._membership.table.find(node_id)
             if member is None or member.is_gone:
@@ -201,15 +201,15 @@
             if reply is None:
                 failing_since = failing_since if is_fresh else sent_at
                 is_fresh = True
-                self._judge_silence(member, failing_since)
+                self._check_silence(member, failing_since)
                 await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             is_fresh = False
-            differences = self._count_difference(reply, differences)
-            if differences >= DIFFERENCES_TO_COMPARE:
-                differences = 0
+            mismatches = self._count_mismatches(reply, mismatches)
+            if mismatches >= MISMATCHES_BEFORE_COMPARISON:
+                mismatches = 0
                 await self._compare_tables(member)
-            await self._wait_for_news(member)
+            await self._wait_for_updates(member)
 
     async def _exchange(
         self, member: Member, *, is_fresh: bool
@@ -228,26 +228,26 @@
             else decode_record(Gossip, answer)
         )
         if reply is None or isinstance(reply, DecodeFailure):
-            self._membership.put_back(member.node_id, gossip)
+            self._membership.requeue(member.node_id, gossip)
             return None
         if reply.sender != member.node_id:
             return None
-        self._take_gossip(reply)
+        self._apply_gossip(reply)
         return reply
 
-    async def _wait_for_news(self, member: Member) -> None:
+    async def _wait_for_updates(self, member: Member) -> None:
         outbox = self._membership.outboxes.get(member.node_id)
         if outbox is None:
             return
         if outbox.event.is_set():
-            await asyncio.sleep(FULL_MESSAGE_DELAY_S)
+            await asyncio.sleep(BACKLOG_DELAY_S)
             return
         interval_s = HEARTBEAT_INTERVAL_S
         if member.data_centre != self._membership.own.data_centre:
-            interval_s = REMOTE_INTERVAL_S
+            interval_s = REMOTE_HEARTBEAT_INTERVAL_S
         try:
             async with asyncio.timeout(
-                interval_s * self._source.uniform(0.9, 1.1)
+                interval_s * self._rng.uniform(0.9, 1.1)
             ):
                 await outbox.event.wait()
         except TimeoutError:
@@ -265,9 +265,11 @@
         if not isinstance(answer, dict):
             return
         received = answer.get('members', ())
-        theirs = {record[0] for record in received}
-        mine = [
-            known for known in self._membership.table if known.node_id in theirs
+        their_ids = {record[0] for record in received}
+        own_members = [
+            record
+            for record in self._membership.table
+            if record.node_id in their_ids
         ]
         self._membership.accept_members(received, member.node_id)
         await self._peers.send_request(
@@ -275,18 +277,18 @@
             'compare',
             {
                 'sender': self._membership.own.node_id,
-                'members': mine,
+                'members': own_members,
                 'buckets': self._membership.compute_buckets(),
             },
             timeout_s=BULK_TIMEOUT_S,
         )
 
-    def _count_difference(self, reply: Gossip, differences: int) -> int:
+    def _count_mismatches(self, reply: Gossip, mismatches: int) -> int:
         if reply.digest == self._membership.table.digest:
             return 0
-        return differences if reply.has_news else differences + 1
+        return mismatches if reply.has_updates else mismatches + 1
 
-    def _take_gossip(self, gossip: Gossip) -> None:
+    def _apply_gossip(self, gossip: Gossip) -> None:
         self._membership.accept_gossip(gossip)
         sender = self._membership.table.find(gossip.sender)
         if sender is None:
@@ -296,16 +298,16 @@
 
     def _start_pull(self, address: str) -> None:
         if self._pull is None or self._pull.done():
-            self._pull = asyncio.create_task(self._pull_and_spread(address))
+            self._pull = asyncio.create_task(self._pull_and_notify(address))
 
-    async def _pull_and_spread(self, address: str) -> None:
+    async def _pull_and_notify(self, address: str) -> None:
         if await self.pull_configuration(address):
-            self.spread()
+            self.notify_neighbours()
 
-    def _judge_silence(self, member: Member, failing_since: float) -> None:
+    def _check_silence(self, member: Member, failing_since: float) -> None:
         """Suspect a member whose heartbeats fail, unless this node slept."""
         since = max(failing_since, self._paused_at)
-        if self._clock() - since > SUSPICION_S:
+        if self._clock() - since > SUSPICION_TIMEOUT_S:
             self._suspect(member)
 
     def _suspect(self, member: Member) -> None:
@@ -314,7 +316,7 @@
                 'member suspected',
                 extra={
                     'instance': member.node_id,
-                    'reason': f'silent for {SUSPICION_S} s',
+                    'reason': f'silent for {SUSPICION_TIMEOUT_S} s',
                 },
             )
 
@@ -332,7 +334,7 @@
             self._refreshed_digest = self._membership.table.digest
             self.refresh_neighbours()
         if now >= self._next_probe_at:
-            pause_s = PROBE_INTERVAL_S * self._source.uniform(0.5, 1.5)
+            pause_s = PROBE_INTERVAL_S * self._rng.uniform(0.5, 1.5)
             self._next_probe_at = now + pause_s
             self._probe_dead()
             self.refresh_neighbours()
@@ -345,9 +347,9 @@
             if member.status == MemberStatus.DEAD
         ]
         if dead:
-            member = self._source.choice(dead)
+            member = self._rng.choice(dead)
             probe = asyncio.create_task(self._probe(member))
-            probe.add_done_callback(_discard_result)
+            probe.add_done_callback(_consume_exception)
 
     async def _probe(self, member: Member) -> None:
         answer = await self._peers.send_request(
@@ -365,6 +367,6 @@
             self._membership.accept_members(answer.get('members', ()), '')
 
 
-def _discard_result(task: asyncio.Task[None]) -> None:
+def _consume_exception(task: asyncio.Task[None]) -> None:
     if not task.cancelled():
         task.exception()
--- a/merlintrail/coordination/_ledger.py
+++ b/merlintrail/coordination/_ledger.py
@@ -26,19 +26,19 @@
 from merlintrail.transport import HttpResponse
 
 #: Bytes of answers kept for resends.
-MAX_ANSWER_BYTES: Final = 8388608
+MAX_CACHED_ANSWER_BYTES: Final = 8388608
 #: Bytes that an answer takes besides its body.
 ANSWER_OVERHEAD_BYTES: Final = 1024
 #: Seconds by which a key may come from the future.
 MAX_CLOCK_SKEW_S: Final = 60.0
 
 #: Seconds to wait for the store before a request is refused.
-STORE_PATIENCE_S: Final = 1.0
+STORE_TIMEOUT_S: Final = 1.0
 #: Seconds for which requests are refused at once after a store failure.
-CLOSED_S: Final = 0.2
+STORE_BACKOFF_S: Final = 0.2
 
 Run: TypeAlias = Callable[[], Awaitable[HttpResponse | Refusal]]
-Recall: TypeAlias = Callable[
+PreviousOwnerQuery: TypeAlias = Callable[
     [KeyRecord], Awaitable[HttpResponse | Refusal | None]
 ]
 
@@ -56,8 +56,8 @@
 
 def find_slot(key: str, slots: int) -> int:
     """Return the slot that a key belongs to."""
-    place: int = xxhash.xxh3_64_intdigest(key.encode()) % slots
-    return place
+    slot: int = xxhash.xxh3_64_intdigest(key.encode()) % slots
+    return slot
 
 
 def find_slot_owner(
@@ -69,13 +69,13 @@
     """
     alive = [member for member in table if member.status == MemberStatus.ALIVE]
     region = configuration.ledger.region
-    near = [
+    in_region = [
         member
         for member in alive
         if configuration.regions.get(member.data_centre) == region
     ]
     return max(
-        near or alive,
+        in_region or alive,
         key=lambda member: xxhash.xxh3_64_intdigest(
             f'{slot} {member.node_id}'.encode()
         ),
@@ -109,19 +109,21 @@
 class Ledger:
     """The slots that this node owns, and the requests that run for them."""
 
-    def __init__(self, parts: SlotDependencies, recall: Recall) -> None:
+    def __init__(
+        self, deps: SlotDependencies, query_previous_owner: PreviousOwnerQuery
+    ) -> None:
         """Create a ledger without slots.
 
         :param recall: asks an earlier owner for the answer to a key.
         """
-        self._parts = parts
-        self._recall = recall
+        self._deps = deps
+        self._query_previous_owner = query_previous_owner
         self._settings = LedgerSettings()
         self._slots: dict[int, LedgerSlot] = {}
         self._running: dict[str, asyncio.Task[HttpResponse | Refusal]] = {}
         self._answers: OrderedDict[str, HttpResponse] = OrderedDict()
         self._answer_bytes = 0
-        self._closed_until = 0.0
+        self._backoff_until = 0.0
 
     @property
     def running(self) -> int:
@@ -133,7 +135,7 @@
         if settings != self._settings:
             self._settings = settings
             for slot in self._slots.values():
-                slot.resign()
+                slot.relinquish()
             self._slots.clear()
 
     async def execute(self, request: KeyedRequest) -> HttpResponse | Refusal:
@@ -163,15 +165,15 @@
         refusal = await self._acquire(slot)
         if refusal is not None:
             return refusal
-        known = slot.index.find(request.key)
-        if known is not None and known.state != KeyState.RELEASED:
-            return await self._answer_known(request, known)
+        existing = slot.index.find(request.key)
+        if existing is not None and existing.state != KeyState.RELEASED:
+            return await self._answer_existing(request, existing)
         record = KeyRecord(
             request.key,
             request.digest,
-            self._parts.wall_clock(),
+            self._deps.wall_clock(),
             KeyState.EXECUTED,
-            self._parts.owner,
+            self._deps.owner,
         )
         slot.index.put(record)
         refusal = await self._append(slot, record)
@@ -182,7 +184,7 @@
 
     async def _acquire(self, slot: LedgerSlot) -> Refusal | None:
         now = asyncio.get_running_loop().time()
-        if now < self._closed_until:
+        if now < self._backoff_until:
             return _refuse_unavailable('the store failed a moment ago')
         return await self._wait_for_store(slot.acquire())
 
@@ -192,7 +194,7 @@
         return await self._wait_for_store(slot.append(record))
 
     async def _wait_for_store(
-        self, work: Coroutine[Any, Any, Refusal | None]
+        self, operation: Coroutine[Any, Any, Refusal | None]
     ) -> Refusal | None:
         """Wait for the store for a bounded time, then refuse.
 
@@ -200,15 +202,15 @@
         not run.
         """
         try:
-            async with asyncio.timeout(STORE_PATIENCE_S):
-                refusal = await work
+            async with asyncio.timeout(STORE_TIMEOUT_S):
+                refusal = await operation
         except TimeoutError:
             refusal = _refuse_unavailable(
-                f'the store did not answer within {STORE_PATIENCE_S} s'
+                f'the store did not answer within {STORE_TIMEOUT_S} s'
             )
         if refusal and refusal.reason == Reason.LEDGER_UNAVAILABLE:
             now = asyncio.get_running_loop().time()
-            self._closed_until = now + CLOSED_S
+            self._backoff_until = now + STORE_BACKOFF_S
         return refusal
 
     async def _run(
@@ -216,24 +218,24 @@
     ) -> HttpResponse | Refusal:
         answer = await request.run()
         if isinstance(answer, HttpResponse):
-            self._keep_answer(request.key, answer)
+            self._cache_answer(request.key, answer)
         elif answer.outcome == Outcome.NOT_RUN:
             slot.release(record)
         return answer
 
-    async def _answer_known(
-        self, request: KeyedRequest, known: KeyRecord
+    async def _answer_existing(
+        self, request: KeyedRequest, existing: KeyRecord
     ) -> HttpResponse | Refusal:
-        if known.digest != request.digest:
+        if existing.digest != request.digest:
             return Refusal(
                 Outcome.NOT_RUN,
                 Reason.KEY_REUSED,
                 'the key belongs to another request',
             )
-        if known.owner != self._parts.owner:
-            recalled = await self._recall(known)
-            if recalled is not None:
-                return recalled
+        if existing.owner != self._deps.owner:
+            previous_answer = await self._query_previous_owner(existing)
+            if previous_answer is not None:
+                return previous_answer
         return Refusal(
             Outcome.MAY_HAVE_RUN,
             Reason.KEY_EXECUTED,
@@ -241,8 +243,8 @@
         )
 
     def _check_reuse(self, request: KeyedRequest) -> Refusal | None:
-        known = self._get_slot(request.key).index.find(request.key)
-        if known is not None and known.digest != request.digest:
+        existing = self._get_slot(request.key).index.find(request.key)
+        if existing is not None and existing.digest != request.digest:
             return Refusal(
                 Outcome.NOT_RUN,
                 Reason.KEY_REUSED,
@@ -254,22 +256,24 @@
         number = find_slot(key, self._settings.slots)
         slot = self._slots.get(number)
         if slot is None:
-            slot = LedgerSlot(self._parts, number, self._settings)
+            slot = LedgerSlot(self._deps, number, self._settings)
             self._slots[number] = slot
         return slot
 
-    def _keep_answer(self, key: str, answer: HttpResponse) -> None:
+    def _cache_answer(self, key: str, answer: HttpResponse) -> None:
         self._answers[key] = answer
         self._answer_bytes += len(answer.body) + ANSWER_OVERHEAD_BYTES
-        while self._answer_bytes > MAX_ANSWER_BYTES:
-            _, dropped = self._answers.popitem(last=False)
-            self._answer_bytes -= len(dropped.body) + ANSWER_OVERHEAD_BYTES
+        while self._answer_bytes > MAX_CACHED_ANSWER_BYTES:
+            _, evicted = self._answers.popitem(last=False)
+            self._answer_bytes -= len(evicted.body) + ANSWER_OVERHEAD_BYTES
 
 
 def _refuse_unavailable(detail: str) -> Refusal:
     return Refusal(Outcome.NOT_RUN, Reason.LEDGER_UNAVAILABLE, detail)
 
 
-def create_ledger(parts: SlotDependencies, recall: Recall) -> Ledger:
+def create_ledger(
+    deps: SlotDependencies, query_previous_owner: PreviousOwnerQuery
+) -> Ledger:
     """Create a ledger that owns nothing yet."""
-    return Ledger(parts, recall)
+    return Ledger(deps, query_previous_owner)
--- a/merlintrail/coordination/_ledger_slot.py
+++ b/merlintrail/coordination/_ledger_slot.py
@@ -19,11 +19,11 @@
 )
 
 #: Times that taking over a slot is begun anew after a collision.
-MAX_ACQUISITIONS: Final = 5
+MAX_ACQUISITION_ATTEMPTS: Final = 5
 #: Seconds within which a lost answer of a write must be settled.
-SETTLING_S: Final = 1.5
+RESOLVE_TIMEOUT_S: Final = 1.5
 #: Seconds between tries to settle a lost answer.
-SETTLING_INTERVAL_S: Final = 0.05
+RESOLVE_INTERVAL_S: Final = 0.05
 #: Seconds beyond the retention for which keys stay in the store, so that
 #: clocks may differ.
 TRIM_MARGIN_S: Final = 60.0
@@ -46,7 +46,7 @@
 
     record: KeyRecord
     #: Resolves to ``None`` once the record is in the store.
-    decision: asyncio.Future[Refusal | None]
+    completion: asyncio.Future[Refusal | None]
 
 
 def _refuse(reason: Reason, detail: str) -> Refusal:
@@ -62,19 +62,19 @@
     """
 
     def __init__(
-        self, parts: SlotDependencies, number: int, settings: LedgerSettings
+        self, deps: SlotDependencies, number: int, settings: LedgerSettings
     ) -> None:
-        self._parts = parts
+        self._deps = deps
         self._number = number
         self._writes_per_s = settings.writes_per_s / settings.slots
         self._tokens = WRITE_BURST
-        self._filled_at = parts.wall_clock()
+        self._refilled_at = deps.wall_clock()
         self._tail: Segment | None = None
         self._sealed: list[Segment] = []
-        self._first = 0
+        self._first_sequence = 0
         self._head_version = 0
         self._pending: list[PendingKey] = []
-        self._released: dict[str, KeyRecord] = {}
+        self._pending_releases: dict[str, KeyRecord] = {}
         self._lock = asyncio.Lock()
         self._writer: asyncio.Task[None] | None = None
         #: Keys that the log has recorded.
@@ -93,7 +93,7 @@
             if self._tail is not None:
                 return None
             failure: StoreFailure | None = None
-            for _ in range(MAX_ACQUISITIONS):
+            for _ in range(MAX_ACQUISITION_ATTEMPTS):
                 failure = await self._try_acquire()
                 if failure is None:
                     return None
@@ -109,20 +109,20 @@
         :returns: ``None`` once the record is in the store, else a refusal;
             the request must not run then.
         """
-        decision: asyncio.Future[Refusal | None]
-        decision = asyncio.get_running_loop().create_future()
-        self._pending.append(PendingKey(record, decision))
+        completion: asyncio.Future[Refusal | None]
+        completion = asyncio.get_running_loop().create_future()
+        self._pending.append(PendingKey(record, completion))
         if self._writer is None or self._writer.done():
             self._writer = asyncio.create_task(self._write_batches())
-        return await asyncio.shield(decision)
+        return await asyncio.shield(completion)
 
     def release(self, record: KeyRecord) -> None:
         """Note that a recorded request was proved not to have run."""
         released = record._replace(state=KeyState.RELEASED)
         self.index.put(released)
-        self._released[record.key] = released
+        self._pending_releases[record.key] = released
 
-    def resign(self) -> None:
+    def relinquish(self) -> None:
         """Stop believing to own the slot."""
         self._tail = None
 
@@ -136,8 +136,8 @@
                     [pending.record for pending in batch]
                 )
             for pending in batch:
-                if not pending.decision.done():
-                    pending.decision.set_result(refusal)
+                if not pending.completion.done():
+                    pending.completion.set_result(refusal)
             await self._trim()
 
     async def _write_batch(
@@ -146,21 +146,21 @@
         tail = self._tail
         if tail is None:
             return _refuse(Reason.LEDGER_MOVED, 'the slot is not owned')
-        told = tuple(self._released.values())
-        grown = tail._replace(
-            records=(*tail.records, *told, *records),
-            nonce=self._parts.create_nonce(),
+        releases = tuple(self._pending_releases.values())
+        extended = tail._replace(
+            records=(*tail.records, *releases, *records),
+            nonce=self._deps.create_nonce(),
         )
-        grown = grown._replace(is_sealed=grown.is_full)
-        failure = await self._settle(grown)
+        extended = extended._replace(is_sealed=extended.is_full)
+        failure = await self._write_segment(extended)
         if failure is not None:
             self._tail = None
-            return self._explain(failure)
-        for record in told:
-            self._released.pop(record.key, None)
+            return self._build_refusal(failure)
+        for record in releases:
+            self._pending_releases.pop(record.key, None)
         return None
 
-    async def _settle(self, segment: Segment) -> StoreFailure | None:
+    async def _write_segment(self, segment: Segment) -> StoreFailure | None:
         """Write a segment until it is known whether the write took effect."""
         written = await self._write_once(segment)
         if isinstance(written, int):
@@ -169,19 +169,19 @@
         if written.fault != StoreFault.UNKNOWN:
             return written
         try:
-            async with asyncio.timeout(SETTLING_S):
-                return await self._settle_unknown(segment)
+            async with asyncio.timeout(RESOLVE_TIMEOUT_S):
+                return await self._resolve_write(segment)
         except TimeoutError:
             return written
 
-    async def _settle_unknown(self, segment: Segment) -> StoreFailure | None:
+    async def _resolve_write(self, segment: Segment) -> StoreFailure | None:
         """Read back, and write again while nothing has changed.
 
         A repeated write makes the first one collide or be the only one, so
         that it cannot take effect later unseen.
         """
         while True:
-            await asyncio.sleep(SETTLING_INTERVAL_S)
+            await asyncio.sleep(RESOLVE_INTERVAL_S)
             found = await self._read_segment(segment.sequence)
             if isinstance(found, StoreFailure):
                 continue
@@ -196,9 +196,9 @@
                 return None
 
     async def _write_once(self, segment: Segment) -> int | StoreFailure:
-        return await self._parts.store.write(
+        return await self._deps.store.write(
             self._build_key(segment.sequence),
-            segment.encode(self._parts.owner),
+            segment.encode(self._deps.owner),
             segment.version,
         )
 
@@ -214,7 +214,7 @@
         if failure is not None:
             return failure
         self._sealed = []
-        sequence = self._first
+        sequence = self._first_sequence
         while True:
             segment = await self._read_segment(sequence)
             if isinstance(segment, StoreFailure):
@@ -224,24 +224,24 @@
                 break
             self._sealed.append(segment)
             sequence += 1
-        return await self._settle(
-            segment._replace(nonce=self._parts.create_nonce())
+        return await self._write_segment(
+            segment._replace(nonce=self._deps.create_nonce())
         )
 
     async def _read_head(self) -> StoreFailure | None:
-        found = await self._parts.store.read(f'ledger/{self._number}')
+        found = await self._deps.store.read(f'ledger/{self._number}')
         if isinstance(found, StoreFailure):
             if found.fault != StoreFault.NOT_FOUND:
                 return found
-            self._first = 0
+            self._first_sequence = 0
             self._head_version = 0
             return None
-        self._first = found.document['first']
+        self._first_sequence = found.document['first']
         self._head_version = found.version
         return None
 
     async def _read_segment(self, sequence: int) -> Segment | StoreFailure:
-        found = await self._parts.store.read(self._build_key(sequence))
+        found = await self._deps.store.read(self._build_key(sequence))
         if isinstance(found, StoreFailure):
             if found.fault == StoreFault.NOT_FOUND:
                 return Segment(sequence, version=0)
@@ -256,24 +256,24 @@
         record of the same owner only.
         """
         for record in segment.records:
-            known = self.index.find(record.key)
-            if known is None:
+            existing = self.index.find(record.key)
+            if existing is None:
                 self.index.put(record)
                 continue
-            is_same_owner = known.owner == record.owner
-            if is_same_owner and record.owner == self._parts.owner:
+            is_same_owner = existing.owner == record.owner
+            if is_same_owner and record.owner == self._deps.owner:
                 continue
             if is_same_owner or record.state != KeyState.RELEASED:
                 self.index.put(record)
 
     async def _trim(self) -> None:
         """Remove segments whose keys are all past their retention."""
-        oldest = self._parts.wall_clock() - self.retention_s - TRIM_MARGIN_S
+        oldest = self._deps.wall_clock() - self.retention_s - TRIM_MARGIN_S
         self.index.remove_older(oldest)
-        if not self._sealed or self._sealed[0].newest >= oldest:
+        if not self._sealed or self._sealed[0].last_recorded_at >= oldest:
             return
         expired = self._sealed[0]
-        written = await self._parts.store.write(
+        written = await self._deps.store.write(
             f'ledger/{self._number}',
             {'first': expired.sequence + 1},
             self._head_version,
@@ -282,21 +282,21 @@
             self._tail = None
             return
         self._head_version = written
-        self._first = expired.sequence + 1
+        self._first_sequence = expired.sequence + 1
         del self._sealed[0]
-        await self._parts.store.remove(
+        await self._deps.store.remove(
             self._build_key(expired.sequence), expired.version
         )
 
     async def _wait_for_budget(self) -> None:
-        now = self._parts.wall_clock()
-        earned = (now - self._filled_at) * self._writes_per_s
-        self._tokens = min(WRITE_BURST, self._tokens + earned) - 1
-        self._filled_at = now
+        now = self._deps.wall_clock()
+        refill = (now - self._refilled_at) * self._writes_per_s
+        self._tokens = min(WRITE_BURST, self._tokens + refill) - 1
+        self._refilled_at = now
         if self._tokens < 0:
             await asyncio.sleep(-self._tokens / self._writes_per_s)
 
-    def _explain(self, failure: StoreFailure) -> Refusal:
+    def _build_refusal(self, failure: StoreFailure) -> Refusal:
         if failure.fault == StoreFault.CONFLICT:
             return _refuse(Reason.LEDGER_MOVED, 'another node took the slot')
         return _refuse(Reason.LEDGER_UNAVAILABLE, failure.reason)
--- a/merlintrail/coordination/_membership.py
+++ b/merlintrail/coordination/_membership.py
@@ -5,7 +5,7 @@
 
 from merlintrail.coordination._messages import (
     Gossip,
-    StatusNews,
+    StatusUpdate,
     read_members,
     read_statuses,
     read_suspicions,
@@ -17,7 +17,7 @@
 )
 from merlintrail.coordination._topology import (
     choose_neighbours,
-    compute_rank,
+    compute_hash,
 )
 from merlintrail.state import (
     ConfigurationHolder,
@@ -29,9 +29,9 @@
 )
 
 #: Seconds for a suspected member to refute before it counts as dead.
-REFUTATION_S: Final = 1.5
+REFUTATION_TIMEOUT_S: Final = 1.5
 #: Parts of the member table that are compared one by one.
-BUCKETS: Final = 64
+BUCKET_COUNT: Final = 64
 
 
 class MembershipState(NamedTuple):
@@ -48,7 +48,7 @@
     def __init__(
         self,
         own: Member,
-        knowledge: MembershipState,
+        state: MembershipState,
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
     ) -> None:
@@ -56,9 +56,9 @@
         self._clock = clock
         self._wall_clock = wall_clock
         self._suspected_at: dict[str, float] = {}
-        self.table = knowledge.table
-        self.holder = knowledge.holder
-        self.quarantine = knowledge.quarantine
+        self.table = state.table
+        self.holder = state.holder
+        self.quarantine = state.quarantine
         #: News that waits, by the neighbour's identifier.
         self.outboxes: dict[str, Outbox] = {}
         self.table.add_listener(self._track_suspects)
@@ -83,7 +83,9 @@
     def build_gossip(self, node_id: str) -> Gossip:
         """Build the next message to a neighbour."""
         outbox = self.outboxes.get(node_id)
-        members, suspicions = ([], []) if outbox is None else outbox.take()
+        members, suspicions = (
+            ([], []) if outbox is None else outbox.take_batch()
+        )
         return Gossip(
             self._own.node_id,
             self._own.incarnation,
@@ -98,14 +100,16 @@
             suspicions,
         )
 
-    def put_back(self, node_id: str, gossip: Gossip) -> None:
+    def requeue(self, node_id: str, gossip: Gossip) -> None:
         """Return the news of a message that did not arrive."""
         outbox = self.outboxes.get(node_id)
-        if outbox is None or not gossip.has_news:
+        if outbox is None or not gossip.has_updates:
             return
-        told = {status.node_id for status in gossip.statuses}
-        members = [member for member in self.table if member.node_id in told]
-        outbox.put_back([*gossip.members, *members], list(gossip.suspicions))
+        node_ids = {status.node_id for status in gossip.statuses}
+        members = [
+            member for member in self.table if member.node_id in node_ids
+        ]
+        outbox.requeue([*gossip.members, *members], list(gossip.suspicions))
 
     def accept_gossip(self, gossip: Gossip) -> None:
         """Take the news of a message."""
@@ -145,11 +149,11 @@
         Nobody is told: every node has heard the suspicion and comes to the
         same conclusion by itself.
         """
-        oldest = self._clock() - REFUTATION_S
+        cutoff = self._clock() - REFUTATION_TIMEOUT_S
         expired = [
             member
             for node_id, since in tuple(self._suspected_at.items())
-            if since < oldest
+            if since < cutoff
             and (member := self.table.find(node_id)) is not None
         ]
         dead = [member._replace(status=MemberStatus.DEAD) for member in expired]
@@ -157,13 +161,13 @@
 
     def compute_buckets(self) -> list[str]:
         """Compute the digests of the parts of the member table."""
-        digests = [0 for _ in range(BUCKETS)]
+        digests = [0 for _ in range(BUCKET_COUNT)]
         for member in self.table:
             news = f'{member.node_id} {member.order}'
-            digests[_find_bucket(member.node_id)] ^= compute_rank(news)
+            digests[_find_bucket(member.node_id)] ^= compute_hash(news)
         return [f'{digest:x}' for digest in digests]
 
-    def list_different(self, buckets: Sequence[str]) -> list[Member]:
+    def list_differing(self, buckets: Sequence[str]) -> list[Member]:
         """Return the members of the parts that differ from another's."""
         own = self.compute_buckets()
         differing = {
@@ -183,10 +187,10 @@
             for node_id, outbox in self.outboxes.items():
                 if node_id != sender:
                     outbox.put_member(member)
-        known_by_sender = self.outboxes.get(sender)
-        if known_by_sender is not None:
+        sender_outbox = self.outboxes.get(sender)
+        if sender_outbox is not None:
             for member in news:
-                known_by_sender.drop_member(member)
+                sender_outbox.drop_member(member)
 
     def _refute(self, member: Member) -> Member:
         """Answer false news of this node with a higher version."""
@@ -200,7 +204,7 @@
         return self._own
 
     def _complete_statuses(
-        self, statuses: Iterable[StatusNews]
+        self, statuses: Iterable[StatusUpdate]
     ) -> list[Member]:
         completed = []
         for status in statuses:
@@ -228,4 +232,4 @@
 
 
 def _find_bucket(node_id: str) -> int:
-    return compute_rank(node_id) % BUCKETS
+    return compute_hash(node_id) % BUCKET_COUNT
--- a/merlintrail/coordination/_messages.py
+++ b/merlintrail/coordination/_messages.py
@@ -12,7 +12,7 @@
 )
 
 
-class StatusNews(NamedTuple):
+class StatusUpdate(NamedTuple):
     """News of a member that needs no more than its status."""
 
     node_id: str
@@ -22,7 +22,7 @@
     status: int
 
 
-_ALWAYS_TOLD: Final = frozenset(
+_REQUIRED_FIELDS: Final = frozenset(
     ('sender', 'incarnation', 'generation', 'digest')
 )
 
@@ -38,13 +38,13 @@
     digest: int
     #: Whole records of members.
     members: Sequence[Any] = ()
-    #: Records of :class:`StatusNews`.
+    #: Records of :class:`StatusUpdate`.
     statuses: Sequence[Any] = ()
     #: Records of :class:`Suspicion`.
     suspicions: Sequence[Any] = ()
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Whether it is more than a heartbeat."""
         return bool(self.members or self.statuses or self.suspicions)
 
@@ -52,9 +52,9 @@
 def encode_gossip(gossip: Gossip) -> dict[str, Any]:
     """Return the JSON form of a message, without what is empty."""
     return {
-        name: part
-        for name, part in gossip._asdict().items()
-        if part or name in _ALWAYS_TOLD
+        name: value
+        for name, value in gossip._asdict().items()
+        if value or name in _REQUIRED_FIELDS
     }
 
 
@@ -64,12 +64,12 @@
     return [member for member in members if member is not None]
 
 
-def read_statuses(records: Sequence[Any]) -> list[StatusNews]:
+def read_statuses(records: Sequence[Any]) -> list[StatusUpdate]:
     """Read status records; a malformed one is passed over."""
     return [
-        StatusNews(*record)
+        StatusUpdate(*record)
         for record in records
-        if len(record) == len(StatusNews._fields)
+        if len(record) == len(StatusUpdate._fields)
         and record[3] in MemberStatus.__members__.values()
     ]
 
--- a/merlintrail/coordination/_outbox.py
+++ b/merlintrail/coordination/_outbox.py
@@ -3,11 +3,11 @@
 import asyncio
 from typing import Final
 
-from merlintrail.coordination._messages import StatusNews
+from merlintrail.coordination._messages import StatusUpdate
 from merlintrail.state import Member, MemberStatus, Suspicion
 
 #: Pieces of news in one message.
-MAX_NEWS: Final = 48
+MAX_UPDATES_PER_MESSAGE: Final = 48
 
 
 class Outbox:
@@ -31,25 +31,25 @@
 
     def drop_member(self, member: Member) -> None:
         """Forget news that the neighbour has sent itself."""
-        waiting = self._members.get(member.node_id)
-        if waiting is not None and waiting.order <= member.order:
+        queued = self._members.get(member.node_id)
+        if queued is not None and queued.order <= member.order:
             del self._members[member.node_id]
 
-    def take(self) -> tuple[list[Member], list[Suspicion]]:
+    def take_batch(self) -> tuple[list[Member], list[Suspicion]]:
         """Take the news of one message."""
         members = [
             self._members.pop(node_id)
-            for node_id in tuple(self._members)[:MAX_NEWS]
+            for node_id in tuple(self._members)[:MAX_UPDATES_PER_MESSAGE]
         ]
         suspicions = [
             self._suspicions.pop(digest)
-            for digest in tuple(self._suspicions)[:MAX_NEWS]
+            for digest in tuple(self._suspicions)[:MAX_UPDATES_PER_MESSAGE]
         ]
         if not self._members and not self._suspicions:
             self.event.clear()
         return members, suspicions
 
-    def put_back(
+    def requeue(
         self, members: list[Member], suspicions: list[Suspicion]
     ) -> None:
         """Return the news of a message that did not arrive."""
@@ -66,8 +66,8 @@
     return member.status >= MemberStatus.SUSPECT
 
 
-def build_status(member: Member) -> StatusNews:
+def build_status(member: Member) -> StatusUpdate:
     """Build the short news of a member."""
-    return StatusNews(
+    return StatusUpdate(
         member.node_id, member.incarnation, member.version, member.status
     )
--- a/merlintrail/coordination/_relay.py
+++ b/merlintrail/coordination/_relay.py
@@ -16,7 +16,7 @@
     StoreFault,
     StoreValue,
 )
-from merlintrail.coordination._topology import compute_rank
+from merlintrail.coordination._topology import compute_hash
 from merlintrail.observability import create_logger
 from merlintrail.protocol import DecodeFailure
 from merlintrail.state import MemberStatus
@@ -24,35 +24,35 @@
 #: Prefix of the keys under which relays announce themselves.
 RELAY_PREFIX: Final = 'relay/'
 #: Relays in each data centre.
-RELAYS: Final = 2
+RELAYS_PER_DATA_CENTRE: Final = 2
 #: Share of checks in which any node tries for a free place, in case that
 #: those whose turn it is cannot reach the store.
-SUBSTITUTE_SHARE: Final = 0.02
+SUBSTITUTE_PROBABILITY: Final = 0.02
 #: Seconds that a relay's lease lasts, and between its renewals.
-LEASE_S: Final = 6.0
-RENEWAL_S: Final = 2.0
+LEASE_DURATION_S: Final = 6.0
+RENEWAL_INTERVAL_S: Final = 2.0
 #: Seconds of one watch.
-WATCH_S: Final = 20.0
+WATCH_TIMEOUT_S: Final = 20.0
 #: Seconds between checks whether the data centre lacks a relay.
-CHECK_S: Final = 1.0
+CHECK_INTERVAL_S: Final = 1.0
 #: Seconds between looks for relays that are not known.
-DISCOVERY_S: Final = 5.0
+DISCOVERY_INTERVAL_S: Final = 5.0
 #: Seconds after its beginning for which a relay looks more often.
-EAGER_S: Final = 20.0
-EAGER_DISCOVERY_S: Final = 0.5
+EAGER_DISCOVERY_PERIOD_S: Final = 20.0
+EAGER_DISCOVERY_INTERVAL_S: Final = 0.5
 #: Seconds before the first and the longest pause after a store failure.
-MIN_PAUSE_S: Final = 0.2
-MAX_PAUSE_S: Final = 5.0
+MIN_BACKOFF_S: Final = 0.2
+MAX_BACKOFF_S: Final = 5.0
 
 _LOG: Final = create_logger('relay')
 
 
-def build_relay_key(data_centre: str, place: int) -> str:
+def build_relay_key(data_centre: str, slot: int) -> str:
     """Build the key under which a relay announces itself."""
-    return f'{RELAY_PREFIX}{data_centre}/{place}'
+    return f'{RELAY_PREFIX}{data_centre}/{slot}'
 
 
-class RelayPlace(NamedTuple):
+class RelayAnnouncement(NamedTuple):
     """A relay as it announces itself in the store."""
 
     data_centre: str
@@ -62,7 +62,7 @@
 
 async def find_relays(
     store: Store, *, may_be_stale: bool = False
-) -> list[RelayPlace]:
+) -> list[RelayAnnouncement]:
     """Return all relays; none when the store is away.
 
     :param may_be_stale: whether places seconds old will do.
@@ -71,7 +71,7 @@
     if isinstance(found, StoreFailure):
         return []
     return [
-        RelayPlace(
+        RelayAnnouncement(
             entry.key.removeprefix(RELAY_PREFIX).partition('/')[0],
             str(entry.document['address']),
         )
@@ -87,36 +87,36 @@
         membership: Membership,
         heartbeats: Heartbeats,
         store: Store,
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self._membership = membership
         self._heartbeats = heartbeats
         self._store = store
-        self._source = source
-        self._pause_s = MIN_PAUSE_S
+        self._rng = rng
+        self._backoff_s = MIN_BACKOFF_S
 
     async def run(self) -> None:
         """Be a candidate, then a relay, then a candidate again."""
         while True:
-            await asyncio.sleep(CHECK_S * self._source.uniform(0.7, 1.3))
-            place = self._find_free_place()
-            if place is None:
+            await asyncio.sleep(CHECK_INTERVAL_S * self._rng.uniform(0.7, 1.3))
+            slot = self._choose_slot()
+            if slot is None:
                 continue
-            lease = await self._take_place(place)
+            lease = await self._acquire_slot(slot)
             if lease is None:
-                await self._pause()
+                await self._back_off()
                 continue
-            self._pause_s = MIN_PAUSE_S
+            self._backoff_s = MIN_BACKOFF_S
             await self._serve(lease)
 
     async def fetch_configuration(self) -> StoreValue | StoreFailure:
         """Read the document from the store and offer it."""
         found = await self._store.read(CONFIGURATION_KEY)
         if isinstance(found, StoreValue):
-            self._offer(found)
+            self._offer_configuration(found)
         return found
 
-    def _find_free_place(self) -> int | None:
+    def _choose_slot(self) -> int | None:
         """Return the place that this node should take, if any."""
         own = self._membership.own
         if own.status != MemberStatus.ALIVE:
@@ -127,34 +127,38 @@
             if member.data_centre == own.data_centre
             and member.status == MemberStatus.ALIVE
         ]
-        free = RELAYS - sum(1 for member in alive if member.is_relay)
-        candidates = sorted(
+        free = RELAYS_PER_DATA_CENTRE - sum(
+            1 for member in alive if member.is_relay
+        )
+        preferred = sorted(
             (member for member in alive if not member.is_relay),
-            key=lambda member: compute_rank(member.node_id),
+            key=lambda member: compute_hash(member.node_id),
         )[: max(0, free)]
-        names = [member.node_id for member in candidates]
-        is_first_choice = own.node_id in names
-        is_substitute = self._source.random() < SUBSTITUTE_SHARE
-        if free <= 0 or not (is_first_choice or is_substitute):
+        preferred_ids = [member.node_id for member in preferred]
+        is_preferred = own.node_id in preferred_ids
+        is_substitute = self._rng.random() < SUBSTITUTE_PROBABILITY
+        if free <= 0 or not (is_preferred or is_substitute):
             return None
-        return (compute_rank(own.node_id) + self._source.getrandbits(1)) % (
-            RELAYS
+        return (compute_hash(own.node_id) + self._rng.getrandbits(1)) % (
+            RELAYS_PER_DATA_CENTRE
         )
 
-    async def _take_place(self, place: int) -> str | None:
-        lease = await self._store.grant_lease(LEASE_S)
+    async def _acquire_slot(self, slot: int) -> str | None:
+        lease = await self._store.grant_lease(LEASE_DURATION_S)
         if isinstance(lease, StoreFailure):
             return None
-        for offset in range(RELAYS):
-            if await self._claim_place((place + offset) % RELAYS, lease):
+        for offset in range(RELAYS_PER_DATA_CENTRE):
+            if await self._claim_slot(
+                (slot + offset) % RELAYS_PER_DATA_CENTRE, lease
+            ):
                 return lease
         await self._store.revoke_lease(lease)
         return None
 
-    async def _claim_place(self, place: int, lease: str) -> bool:
+    async def _claim_slot(self, slot: int, lease: str) -> bool:
         """Write the key of a place that is free, or was an ended process's."""
         own = self._membership.own
-        key = build_relay_key(own.data_centre, place)
+        key = build_relay_key(own.data_centre, slot)
         found = await self._store.read(key)
         version = 0
         if isinstance(found, StoreValue):
@@ -193,16 +197,16 @@
         finally:
             for task in (watch, discovery, renewal):
                 task.cancel()
-            await self._resign(lease)
+            await self._step_down(lease)
 
-    async def _resign(self, lease: str) -> None:
+    async def _step_down(self, lease: str) -> None:
         self._membership.update_own(is_relay=False)
         await self._store.revoke_lease(lease)
 
     async def _keep_lease(self, lease: str) -> None:
         """Return when the lease is lost; a store outage does not end it."""
         while self._membership.own.status == MemberStatus.ALIVE:
-            await asyncio.sleep(RENEWAL_S)
+            await asyncio.sleep(RENEWAL_INTERVAL_S)
             failure = await self._store.renew_lease(lease)
             if failure is None:
                 continue
@@ -214,20 +218,22 @@
         while True:
             if position:
                 found = await self._store.watch(
-                    CONFIGURATION_KEY, position, WATCH_S
+                    CONFIGURATION_KEY, position, WATCH_TIMEOUT_S
                 )
             else:
                 found = await self._store.read_range(CONFIGURATION_KEY)
             if isinstance(found, StoreFailure):
                 position = 0
                 if found.fault != StoreFault.HISTORY_LOST:
-                    await self._pause()
+                    await self._back_off()
                 continue
-            self._pause_s = MIN_PAUSE_S
+            self._backoff_s = MIN_BACKOFF_S
             position = found.position
             for entry in found.entries:
                 if entry.key == CONFIGURATION_KEY:
-                    self._offer(StoreValue(entry.document, entry.version))
+                    self._offer_configuration(
+                        StoreValue(entry.document, entry.version)
+                    )
 
     async def _discover(self) -> None:
         """Look for relays that this node does not know.
@@ -238,22 +244,28 @@
         started_at = asyncio.get_running_loop().time()
         while True:
             age_s = asyncio.get_running_loop().time() - started_at
-            interval_s = DISCOVERY_S if age_s > EAGER_S else EAGER_DISCOVERY_S
-            await asyncio.sleep(interval_s * self._source.uniform(0.5, 1.5))
-            await self._look_for_relay()
+            interval_s = (
+                DISCOVERY_INTERVAL_S
+                if age_s > EAGER_DISCOVERY_PERIOD_S
+                else EAGER_DISCOVERY_INTERVAL_S
+            )
+            await asyncio.sleep(interval_s * self._rng.uniform(0.5, 1.5))
+            await self._join_unknown_relay()
 
-    async def _look_for_relay(self) -> None:
+    async def _join_unknown_relay(self) -> None:
         """Introduce this node to one relay that it does not know."""
         relays = await find_relays(self._store, may_be_stale=True)
-        known = {
+        known_addresses = {
             member.peer_address
             for member in self._membership.table.list_present()
         }
-        unknown = sorted({relay.address for relay in relays} - known)
-        if unknown:
-            await self._heartbeats.join(self._source.choice(unknown))
+        unknown_addresses = sorted(
+            {relay.address for relay in relays} - known_addresses
+        )
+        if unknown_addresses:
+            await self._heartbeats.join(self._rng.choice(unknown_addresses))
 
-    def _offer(self, found: StoreValue) -> None:
+    def _offer_configuration(self, found: StoreValue) -> None:
         envelope = read_envelope(found.document)
         if isinstance(envelope, DecodeFailure):
             _LOG.error(
@@ -261,8 +273,8 @@
             )
             return
         if self._membership.holder.offer(envelope):
-            self._heartbeats.spread()
+            self._heartbeats.notify_neighbours()
 
-    async def _pause(self) -> None:
-        await asyncio.sleep(self._pause_s * self._source.uniform(0.5, 1.5))
-        self._pause_s = min(MAX_PAUSE_S, self._pause_s * 2)
+    async def _back_off(self) -> None:
+        await asyncio.sleep(self._backoff_s * self._rng.uniform(0.5, 1.5))
+        self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * 2)
--- a/merlintrail/coordination/_sections.py
+++ b/merlintrail/coordination/_sections.py
@@ -39,11 +39,11 @@
         f'{_SERVICE_PREFIX}{service["name"]}': service
         for service in document['services']
     }
-    for name, part in document.items():
+    for name, section in document.items():
         if name == 'routes':
-            sections.update(_split_routes(part))
+            sections.update(_split_routes(section))
         elif name != 'services':
-            sections[name] = part
+            sections[name] = section
     return sections
 
 
@@ -52,37 +52,37 @@
         f'{_ROUTES_PREFIX}{number}': [] for number in range(ROUTE_SECTIONS)
     }
     for route in routes:
-        rank = xxhash.xxh3_64_intdigest(route['name'].encode())
-        sections[f'{_ROUTES_PREFIX}{rank % ROUTE_SECTIONS}'].append(route)
+        digest = xxhash.xxh3_64_intdigest(route['name'].encode())
+        sections[f'{_ROUTES_PREFIX}{digest % ROUTE_SECTIONS}'].append(route)
     return sections
 
 
 def join_sections(sections: Sections) -> dict[str, Any]:
     """Put a document together again; its routes come ordered by name."""
     document: dict[str, Any] = {'services': []}
-    for name, part in sections.items():
+    for name, section in sections.items():
         if name.startswith(_SERVICE_PREFIX):
-            document['services'].append(part)
+            document['services'].append(section)
         elif name.startswith(_ROUTES_PREFIX):
-            document.setdefault('routes', []).extend(part)
+            document.setdefault('routes', []).extend(section)
         else:
-            document[name] = part
+            document[name] = section
     if 'routes' in document:
         document['routes'].sort(key=lambda route: str(route['name']))
     return document
 
 
-def compute_section_hash(part: object) -> str:
+def compute_section_hash(section: object) -> str:
     """Compute the content hash of a section."""
-    digest: str = xxhash.xxh3_64_hexdigest(encode_json(part))
+    digest: str = xxhash.xxh3_64_hexdigest(encode_json(section))
     return digest
 
 
 def hash_sections(document: Mapping[str, Any]) -> dict[str, str]:
     """Return the hash of each section of a document."""
     return {
-        name: compute_section_hash(part)
-        for name, part in split_document(document).items()
+        name: compute_section_hash(section)
+        for name, section in split_document(document).items()
     }
 
 
@@ -92,9 +92,9 @@
     """Build what a node needs that has sections of these hashes."""
     sections = split_document(envelope.document)
     changed = {
-        name: part
-        for name, part in sections.items()
-        if compute_section_hash(part) != known_hashes.get(name)
+        name: section
+        for name, section in sections.items()
+        if compute_section_hash(section) != known_hashes.get(name)
     }
     return SectionedEnvelope(
         envelope.generation,
@@ -107,19 +107,19 @@
 
 
 def merge_difference(
-    difference: SectionedEnvelope, known: Envelope | None
+    difference: SectionedEnvelope, base: Envelope | None
 ) -> Envelope | None:
     """Complete a difference with the sections that are known.
 
     :returns: ``None`` when a section is missing.
     """
-    present = {} if known is None else split_document(known.document)
+    base_sections = {} if base is None else split_document(base.document)
     sections = {}
     for name in difference.names:
         if name in difference.sections:
             sections[name] = difference.sections[name]
-        elif name in present:
-            sections[name] = present[name]
+        elif name in base_sections:
+            sections[name] = base_sections[name]
         else:
             return None
     return Envelope(
--- a/merlintrail/coordination/_segments.py
+++ b/merlintrail/coordination/_segments.py
@@ -27,7 +27,7 @@
         return len(self.records) >= MAX_SEGMENT_KEYS
 
     @property
-    def newest(self) -> float:
+    def last_recorded_at(self) -> float:
         """Time of the last record, 0 when there is none."""
         return self.records[-1].recorded_at if self.records else 0.0
 
--- a/merlintrail/coordination/_store_client.py
+++ b/merlintrail/coordination/_store_client.py
@@ -18,7 +18,7 @@
     build_write,
 )
 from merlintrail.coordination._store_wire import (
-    OwnStoreWire,
+    NativeStoreWire,
     StoreCall,
     StoreWire,
 )
@@ -54,7 +54,7 @@
         self, addresses: Sequence[str], wire: StoreWire | None = None
     ) -> None:
         self._addresses = tuple(addresses)
-        self._wire = wire or OwnStoreWire()
+        self._wire = wire or NativeStoreWire()
         self._http = urllib3.PoolManager(
             maxsize=MAX_CONNECTIONS,
             retries=False,
@@ -66,31 +66,31 @@
 
     def read(self, key: str) -> StoreValue | StoreFailure:
         """Read a key."""
-        return self._call(self._wire.build_read(key))
+        return self._try_addresses(self._wire.build_read(key))
 
     def read_range(
         self, prefix: str, *, may_be_stale: bool = False
     ) -> StoreItems | StoreFailure:
         """Read all keys under a prefix."""
-        found: list[StoreItem] = []
+        entries: list[StoreItem] = []
         after: str | None = None
         position: int | None = None
         while True:
-            page = self._call(
+            page = self._try_addresses(
                 self._wire.build_range(prefix, after, may_be_stale=may_be_stale)
             )
             if isinstance(page, StoreFailure):
                 return page
-            found.extend(page.listing.entries)
+            entries.extend(page.listing.entries)
             if position is None:
                 position = page.listing.position
             if page.next_after is None:
-                return StoreItems(tuple(found), position)
+                return StoreItems(tuple(entries), position)
             after = page.next_after
 
     def transact(self, transaction: Transaction) -> int | StoreFailure:
         """Make changes if every expected version is the one there."""
-        return self._call(self._wire.build_transaction(transaction))
+        return self._try_addresses(self._wire.build_transaction(transaction))
 
     def write(
         self,
@@ -113,21 +113,25 @@
         self, prefix: str, position: int, timeout_s: float
     ) -> StoreItems | StoreFailure:
         """Wait for changes under a prefix behind a position."""
-        return self._call(self._wire.build_watch(prefix, position, timeout_s))
+        return self._try_addresses(
+            self._wire.build_watch(prefix, position, timeout_s)
+        )
 
     def grant_lease(self, duration_s: float) -> str | StoreFailure:
         """Obtain a lease."""
-        return self._call(self._wire.build_grant(duration_s))
+        return self._try_addresses(self._wire.build_grant(duration_s))
 
     def renew_lease(self, lease: str) -> None | StoreFailure:
         """Renew a lease for its whole duration."""
-        return self._call(self._wire.build_renewal(lease))
+        return self._try_addresses(self._wire.build_renewal(lease))
 
     def revoke_lease(self, lease: str) -> None | StoreFailure:
         """Give a lease up, with the keys that hang on it."""
-        return self._call(self._wire.build_revocation(lease))
+        return self._try_addresses(self._wire.build_revocation(lease))
 
-    def _call(self, call: StoreCall[ResultT]) -> ResultT | StoreFailure:
+    def _try_addresses(
+        self, call: StoreCall[ResultT]
+    ) -> ResultT | StoreFailure:
         failure = StoreFailure(StoreFault.UNAVAILABLE, 'no store address')
         for address in self._addresses:
             answer = self._send(address, call)
--- a/merlintrail/coordination/_store_wire.py
+++ b/merlintrail/coordination/_store_wire.py
@@ -90,7 +90,7 @@
     return {**_COMMON_FAULTS, **added}
 
 
-class OwnStoreWire(StoreWire):
+class NativeStoreWire(StoreWire):
     """The interface of the store that merlintrail itself describes."""
 
     def build_read(self, key: str) -> StoreCall[StoreValue]:
--- a/merlintrail/coordination/_topology.py
+++ b/merlintrail/coordination/_topology.py
@@ -11,10 +11,10 @@
 #: Neighbours on each side of the ring within a data centre.
 RING_DEGREE: Final = 2
 #: Links from one data centre to each other one.
-LINKS_BETWEEN: Final = 1
+LINKS_PER_REMOTE_DATA_CENTRE: Final = 1
 
 
-def compute_rank(node_id: str) -> int:
+def compute_hash(node_id: str) -> int:
     """Compute the place of a node in every order of nodes."""
     rank: int = xxhash.xxh3_64_intdigest(node_id.encode())
     return rank
@@ -25,23 +25,25 @@
     for member in members:
         groups[member.data_centre].append(member)
     return {
-        data_centre: sorted(group, key=_rank_member)
+        data_centre: sorted(group, key=_hash_member)
         for data_centre, group in groups.items()
     }
 
 
-def _rank_member(member: Member) -> int:
-    return compute_rank(member.node_id)
+def _hash_member(member: Member) -> int:
+    return compute_hash(member.node_id)
 
 
-def _choose_ring(own_rank: int, group: Sequence[Member]) -> list[Member]:
+def _choose_ring_neighbours(
+    own_index: int, group: Sequence[Member]
+) -> list[Member]:
     size = len(group)
     offsets = [
         offset for step in range(1, RING_DEGREE + 1) for offset in (step, -step)
     ]
-    places = {(own_rank + offset) % size for offset in offsets}
-    places.discard(own_rank)
-    return [group[place] for place in sorted(places)]
+    indexes = {(own_index + offset) % size for offset in offsets}
+    indexes.discard(own_index)
+    return [group[index] for index in sorted(indexes)]
 
 
 def choose_neighbours(own: Member, members: Iterable[Member]) -> list[Member]:
@@ -54,7 +56,7 @@
     """
     groups = _group_members(members)
     own_group = groups.pop(own.data_centre, [own])
-    own_rank = next(
+    own_index = next(
         (
             rank
             for rank, member in enumerate(own_group)
@@ -62,21 +64,24 @@
         ),
         0,
     )
-    neighbours = _choose_ring(own_rank, own_group)
-    return [*neighbours, *_choose_links(own, own_rank, len(own_group), groups)]
+    neighbours = _choose_ring_neighbours(own_index, own_group)
+    return [
+        *neighbours,
+        *_choose_remote_neighbours(own, own_index, len(own_group), groups),
+    ]
 
 
-def _choose_links(
+def _choose_remote_neighbours(
     own: Member,
-    own_rank: int,
+    own_index: int,
     own_size: int,
     groups: Mapping[str, Sequence[Member]],
 ) -> Iterator[Member]:
     """Choose the links of a node to other data centres."""
     names = sorted({*groups, own.data_centre})
     others = [groups[name] for name in names if name in groups]
-    shift = own_rank + names.index(own.data_centre)
-    links = -(-LINKS_BETWEEN * len(others) // own_size)
+    shift = own_index + names.index(own.data_centre)
+    links = -(-LINKS_PER_REMOTE_DATA_CENTRE * len(others) // own_size)
     for link in range(min(links, len(others))):
         group = others[(shift + link * own_size) % len(others)]
-        yield group[own_rank % len(group)]
+        yield group[own_index % len(group)]
--- a/merlintrail/coordination/tests/fake_store.py
+++ b/merlintrail/coordination/tests/fake_store.py
@@ -82,9 +82,9 @@
         self, key: str, document: object, expected_version: int
     ) -> int | StoreFailure:
         """Write at once if the version is the expected one."""
-        known = self.documents.get(key)
-        known_version = 0 if known is None else known.version
-        if known_version != expected_version:
+        current = self.documents.get(key)
+        current_version = 0 if current is None else current.version
+        if current_version != expected_version:
             return StoreFailure(StoreFault.CONFLICT, key)
         self._version += 1
         self.documents[key] = StoreValue(document, self._version)
--- a/merlintrail/coordination/tests/peer_network.py
+++ b/merlintrail/coordination/tests/peer_network.py
@@ -43,24 +43,24 @@
 }
 
 
-class World:
+class PeerNetwork:
     """Nodes, and which pairs of them can talk."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, PeerNode] = {}
         self.paused: set[str] = set()
         #: Groups that cannot reach each other.
-        self.sides: dict[str, int] = {}
+        self.partitions: dict[str, int] = {}
         self.bytes_sent: Counter[str] = Counter()
 
-    def can_talk(self, sender: str, receiver: str) -> bool:
+    def can_reach(self, sender: str, receiver: str) -> bool:
         """Tell whether a message arrives."""
         is_up = receiver in self.nodes
-        is_awake = not self.paused & {sender, receiver}
+        is_running = not self.paused & {sender, receiver}
         return (
             is_up
-            and is_awake
-            and self.sides.get(sender) == self.sides.get(receiver)
+            and is_running
+            and self.partitions.get(sender) == self.partitions.get(receiver)
         )
 
     def add(self, name: str, data_centre: str, incarnation: int = 1) -> None:
@@ -85,7 +85,7 @@
             1 for view in views if view is not None and view.status == status
         )
 
-    def have_same_view(self, names: Iterable[str]) -> bool:
+    def have_equal_tables(self, names: Iterable[str]) -> bool:
         """Tell whether nodes know the same."""
         return len({self.nodes[name].table.digest for name in names}) == 1
 
@@ -95,11 +95,11 @@
             node.stop()
 
 
-class FakePeers(PeerClient):
+class InMemoryPeerClient(PeerClient):
     """Messages of one node, through JSON as on the wire."""
 
-    def __init__(self, world: World, name: str) -> None:
-        self._world = world
+    def __init__(self, network: PeerNetwork, name: str) -> None:
+        self._network = network
         self._name = name
 
     async def send_request(
@@ -113,14 +113,14 @@
     ) -> Any:
         """Deliver a message unless the two are apart."""
         payload = encode_json(document)
-        self._world.bytes_sent[self._name] += len(payload)
+        self._network.bytes_sent[self._name] += len(payload)
         await asyncio.sleep(0.002)
-        if not self._world.can_talk(self._name, address):
+        if not self._network.can_reach(self._name, address):
             await asyncio.sleep(timeout_s)
             return TransportFailure(FailureStage.ANSWER, 'timeout')
-        node = self._world.nodes[address]
+        node = self._network.nodes[address]
         answer = encode_json(node.handle(subject, decode_json(payload)))
-        self._world.bytes_sent[address] += len(answer)
+        self._network.bytes_sent[address] += len(answer)
         await asyncio.sleep(0.002)
         return decode_json(answer)
 
@@ -129,7 +129,11 @@
     """The part of a node that keeps membership."""
 
     def __init__(
-        self, world: World, name: str, data_centre: str, incarnation: int
+        self,
+        network: PeerNetwork,
+        name: str,
+        data_centre: str,
+        incarnation: int,
     ) -> None:
         clock = asyncio.get_running_loop().time
         self.table = MemberTable(clock)
@@ -153,7 +157,7 @@
         )
         self.heartbeats = Heartbeats(
             self.membership,
-            FakePeers(world, name),
+            InMemoryPeerClient(network, name),
             clock,
             random.Random(name),
         )
@@ -188,9 +192,9 @@
         return self.heartbeats.handle_comparison(document)
 
 
-async def start_world(size: int = 8) -> World:
-    world = World()
+async def start_network(size: int = 8) -> PeerNetwork:
+    network = PeerNetwork()
     for number in range(size):
-        world.add(f'n{number}', 'ab'[number % 2])
+        network.add(f'n{number}', 'ab'[number % 2])
     await asyncio.sleep(5)
-    return world
+    return network
--- a/merlintrail/coordination/tests/test_changes.py
+++ b/merlintrail/coordination/tests/test_changes.py
@@ -54,8 +54,8 @@
         fault = self.faults.pop(0) if self.faults else None
         if fault == StoreFault.UNAVAILABLE:
             return StoreFailure(fault, 'down')
-        known = self.documents.get(key)
-        version = 0 if known is None else known.version
+        current = self.documents.get(key)
+        version = 0 if current is None else current.version
         if version != expected_version:
             return StoreFailure(StoreFault.CONFLICT, key)
         self.documents[key] = StoreValue(document, version + 1)
--- a/merlintrail/coordination/tests/test_ledger_machine.py
+++ b/merlintrail/coordination/tests/test_ledger_machine.py
@@ -132,10 +132,10 @@
                 assert not self._executions[key]
 
     def _create_ledger(self, owner: str) -> Ledger:
-        parts = SlotDependencies(
+        deps = SlotDependencies(
             self._store, owner, lambda: 1.0e9, self._create_nonce
         )
-        ledger = create_ledger(parts, self._recall)
+        ledger = create_ledger(deps, self._query_previous_owner)
         ledger.update_settings(LedgerSettings(slots=1, writes_per_s=1000))
         return ledger
 
@@ -143,7 +143,7 @@
         self._nonces += 1
         return str(self._nonces)
 
-    async def _recall(self, _: KeyRecord) -> None:
+    async def _query_previous_owner(self, _: KeyRecord) -> None:
         return None
 
     def _turn(self, seconds: float) -> None:
--- a/merlintrail/coordination/tests/test_membership.py
+++ b/merlintrail/coordination/tests/test_membership.py
@@ -7,7 +7,7 @@
 from merlintrail.coordination import (
     choose_neighbours,
 )
-from merlintrail.coordination.tests.peer_network import DOCUMENT, start_world
+from merlintrail.coordination.tests.peer_network import DOCUMENT, start_network
 from merlintrail.state import (
     Envelope,
     Member,
@@ -24,12 +24,12 @@
         """All know all, and a new one is known within 2 s."""
 
         async def scenario() -> None:
-            world = await start_world()
-            self.assertTrue(world.have_same_view(world.nodes))
-            world.add('late', 'a')
+            network = await start_network()
+            self.assertTrue(network.have_equal_tables(network.nodes))
+            network.add('late', 'a')
             await asyncio.sleep(2)
-            self.assertEqual(world.count_views('late', MemberStatus.ALIVE), 8)
-            world.stop()
+            self.assertEqual(network.count_views('late', MemberStatus.ALIVE), 8)
+            network.stop()
 
         run_virtually(scenario())
 
@@ -37,13 +37,13 @@
         """Every node stops routing to it."""
 
         async def scenario() -> None:
-            world = await start_world()
-            world.kill('n3')
+            network = await start_network()
+            network.kill('n3')
             await asyncio.sleep(5)
-            self.assertEqual(world.count_views('n3', MemberStatus.ALIVE), 0)
+            self.assertEqual(network.count_views('n3', MemberStatus.ALIVE), 0)
             await asyncio.sleep(2)
-            self.assertEqual(world.count_views('n3', MemberStatus.DEAD), 7)
-            world.stop()
+            self.assertEqual(network.count_views('n3', MemberStatus.DEAD), 7)
+            network.stop()
 
         run_virtually(scenario())
 
@@ -51,14 +51,14 @@
         """The same name and address, known as alive again."""
 
         async def scenario() -> None:
-            world = await start_world()
-            world.kill('n3')
+            network = await start_network()
+            network.kill('n3')
             await asyncio.sleep(1)
-            world.add('n3', 'b', incarnation=2)
+            network.add('n3', 'b', incarnation=2)
             await asyncio.sleep(6)
-            self.assertEqual(world.count_views('n3', MemberStatus.ALIVE), 7)
-            self.assertTrue(world.have_same_view(world.nodes))
-            world.stop()
+            self.assertEqual(network.count_views('n3', MemberStatus.ALIVE), 7)
+            self.assertTrue(network.have_equal_tables(network.nodes))
+            network.stop()
 
         run_virtually(scenario())
 
@@ -66,14 +66,14 @@
         """It was counted dead, and is alive again by a higher version."""
 
         async def scenario() -> None:
-            world = await start_world()
-            world.paused.add('n3')
+            network = await start_network()
+            network.paused.add('n3')
             await asyncio.sleep(8)
-            self.assertEqual(world.count_views('n3', MemberStatus.DEAD), 7)
-            world.paused.clear()
+            self.assertEqual(network.count_views('n3', MemberStatus.DEAD), 7)
+            network.paused.clear()
             await asyncio.sleep(25)
-            self.assertEqual(world.count_views('n3', MemberStatus.ALIVE), 7)
-            world.stop()
+            self.assertEqual(network.count_views('n3', MemberStatus.ALIVE), 7)
+            network.stop()
 
         run_virtually(scenario())
 
@@ -81,11 +81,11 @@
         """One node claims that another is silent; it is not."""
 
         async def scenario() -> None:
-            world = await start_world()
-            world.nodes['n0'].membership.suspect('n5')
+            network = await start_network()
+            network.nodes['n0'].membership.suspect('n5')
             await asyncio.sleep(1.4)
-            self.assertEqual(world.count_views('n5', MemberStatus.ALIVE), 7)
-            world.stop()
+            self.assertEqual(network.count_views('n5', MemberStatus.ALIVE), 7)
+            network.stop()
 
         run_virtually(scenario())
 
@@ -93,15 +93,17 @@
         """Half of the nodes; the others know within 8 s."""
 
         async def scenario() -> None:
-            world = await start_world()
-            lost = [name for name in world.nodes if name in 'n1 n3 n5 n7']
+            network = await start_network()
+            lost = [name for name in network.nodes if name in 'n1 n3 n5 n7']
             for name in lost:
-                world.kill(name)
+                network.kill(name)
             await asyncio.sleep(8)
             for name in lost:
-                self.assertEqual(world.count_views(name, MemberStatus.ALIVE), 0)
-            self.assertTrue(world.have_same_view(world.nodes))
-            world.stop()
+                self.assertEqual(
+                    network.count_views(name, MemberStatus.ALIVE), 0
+                )
+            self.assertTrue(network.have_equal_tables(network.nodes))
+            network.stop()
 
         run_virtually(scenario())
 
@@ -109,19 +111,19 @@
         """Each side goes on by itself; when they meet they are one again."""
 
         async def scenario() -> None:
-            world = await start_world()
-            for name in world.nodes:
-                world.sides[name] = int(name[1:]) % 2
+            network = await start_network()
+            for name in network.nodes:
+                network.partitions[name] = int(name[1:]) % 2
             await asyncio.sleep(900)
-            self.assertEqual(world.count_views('n0', MemberStatus.ALIVE), 3)
-            world.add('new', 'a')
-            world.sides['new'] = 0
+            self.assertEqual(network.count_views('n0', MemberStatus.ALIVE), 3)
+            network.add('new', 'a')
+            network.partitions['new'] = 0
             await asyncio.sleep(5)
-            world.sides.clear()
+            network.partitions.clear()
             await asyncio.sleep(60)
-            self.assertTrue(world.have_same_view(world.nodes))
-            self.assertEqual(world.count_views('new', MemberStatus.ALIVE), 8)
-            world.stop()
+            self.assertTrue(network.have_equal_tables(network.nodes))
+            self.assertEqual(network.count_views('new', MemberStatus.ALIVE), 8)
+            network.stop()
 
         run_virtually(scenario())
 
@@ -129,14 +131,14 @@
         """Offered at one node, in force at all within 4 s."""
 
         async def scenario() -> None:
-            world = await start_world()
-            first = world.nodes['n0']
+            network = await start_network()
+            first = network.nodes['n0']
             first.holder.offer(Envelope(7, 'x', 'op', 0.0, DOCUMENT))
-            first.heartbeats.spread()
+            first.heartbeats.notify_neighbours()
             await asyncio.sleep(4)
-            for node in world.nodes.values():
+            for node in network.nodes.values():
                 self.assertEqual(node.holder.generation, 7)
-            world.stop()
+            network.stop()
 
         run_virtually(scenario())
 
@@ -144,15 +146,15 @@
         """A convicted request is known everywhere within a second."""
 
         async def scenario() -> None:
-            world = await start_world()
-            first = world.nodes['n0']
+            network = await start_network()
+            first = network.nodes['n0']
             suspicion = Suspicion('bad', ('one', 'two'), True, 1.0e9)
             first.quarantine.merge(suspicion, 0.0)
             first.membership.gossip_suspicions([suspicion])
             await asyncio.sleep(1)
-            for node in world.nodes.values():
+            for node in network.nodes.values():
                 self.assertTrue(node.quarantine.is_convicted('bad', 0.0))
-            world.stop()
+            network.stop()
 
         run_virtually(scenario())
 
