--- a/merlintrail/coordination/_ledger.py
+++ b/merlintrail/coordination/_ledger.py
@@ -1,4 +1,10 @@
-"""At-most-once execution of non-idempotent requests."""
+"""At-most-once execution of non-idempotent requests.
+
+Each request carries an idempotency key. Keys are hashed onto slots, and each
+slot has one owner among the nodes. The owner writes the key to the store
+before it runs the request, so that a resend finds the key and does not run
+the request again.
+"""
 
 import asyncio
 from collections import OrderedDict
@@ -25,37 +31,40 @@
 )
 from merlintrail.transport import HttpResponse
 
-#: Bytes of answers kept for resends.
+#: Bytes of answers that are cached for resent requests; beyond that the
+#: oldest answers are evicted.
 MAX_CACHED_ANSWER_BYTES: Final = 8388608
-#: Bytes that an answer takes besides its body.
+#: Bytes counted for each cached answer besides its body.
 ANSWER_OVERHEAD_BYTES: Final = 1024
-#: Seconds by which a key may come from the future.
+#: Seconds by which the timestamp of a key may be ahead of the local clock.
 MAX_CLOCK_SKEW_S: Final = 60.0
 
 #: Seconds to wait for the store before a request is refused.
 STORE_TIMEOUT_S: Final = 1.0
-#: Seconds for which requests are refused at once after a store failure.
+#: Seconds after a store failure during which requests are refused without
+#: another call to the store.
 STORE_BACKOFF_S: Final = 0.2
 
-Run: TypeAlias = Callable[[], Awaitable[HttpResponse | Refusal]]
+RequestRunner: TypeAlias = Callable[[], Awaitable[HttpResponse | Refusal]]
 PreviousOwnerQuery: TypeAlias = Callable[
     [KeyRecord], Awaitable[HttpResponse | Refusal | None]
 ]
 
 
 class KeyedRequest(NamedTuple):
-    """A non-idempotent request and its key."""
+    """A non-idempotent request and its idempotency key."""
 
-    #: Service and key, the scope in which the key is unique.
+    #: Service name and key; a key is unique within its service.
     key: str
-    #: Digest of the request.
+    #: Digest of the request, which detects a key that is reused for another
+    #: request.
     digest: str
     #: Runs the request; called at most once.
-    run: Run
+    run: RequestRunner
 
 
 def find_slot(key: str, slots: int) -> int:
-    """Return the slot that a key belongs to."""
+    """Return the number of the slot that a key hashes to."""
     slot: int = xxhash.xxh3_64_intdigest(key.encode()) % slots
     return slot
 
@@ -63,9 +72,10 @@
 def find_slot_owner(
     table: MemberTable, configuration: Configuration, slot: int
 ) -> Member | None:
-    """Return the node that owns a slot, by rendezvous hashing.
+    """Return the owner of a slot, chosen by rendezvous hashing.
 
-    Only nodes that are alive own slots, those of the ledger's region first.
+    Only nodes that are alive own slots. Nodes of the region that the ledger
+    is configured for are preferred; others are used when it has none alive.
     """
     alive = [member for member in table if member.status == MemberStatus.ALIVE]
     region = configuration.ledger.region
@@ -86,7 +96,12 @@
 def check_key_age(
     key: str, settings: LedgerSettings, wall_time_s: float
 ) -> Refusal | None:
-    """Refuse a key whose record may be trimmed already."""
+    """Return a refusal for a key whose age is out of range.
+
+    The record of a key that is older than the retention may have been
+    trimmed, so that a repeated request could not be recognised. A key that
+    carries no timestamp is accepted.
+    """
     age_s = read_key_age_s(key, wall_time_s)
     if age_s is None:
         return None
@@ -107,14 +122,15 @@
 
 
 class Ledger:
-    """The slots that this node owns, and the requests that run for them."""
+    """Runs keyed requests at most once, in the slots that this node owns."""
 
     def __init__(
         self, deps: SlotDependencies, query_previous_owner: PreviousOwnerQuery
     ) -> None:
         """Create a ledger without slots.
 
-        :param recall: asks an earlier owner for the answer to a key.
+        :param query_previous_owner: asks the node that recorded a key for
+            the answer; returns ``None`` when the answer cannot be obtained.
         """
         self._deps = deps
         self._query_previous_owner = query_previous_owner
@@ -127,11 +143,15 @@
 
     @property
     def running(self) -> int:
-        """Requests in progress."""
+        """Number of requests in progress."""
         return len(self._running)
 
     def update_settings(self, settings: LedgerSettings) -> None:
-        """Take the settings of a new configuration."""
+        """Apply the ledger settings of a new configuration.
+
+        Changed settings may map keys to other slots, so that all slots are
+        relinquished and acquired again on demand.
+        """
         if settings != self._settings:
             self._settings = settings
             for slot in self._slots.values():
@@ -139,7 +159,10 @@
             self._slots.clear()
 
     async def execute(self, request: KeyedRequest) -> HttpResponse | Refusal:
-        """Run a request unless its key is known; return its one answer."""
+        """Run a request unless its key is recorded; return its answer.
+
+        Resent requests share the run in progress or get the cached answer.
+        """
         running = self._running.get(request.key)
         if running is None:
             answer = self._answers.get(request.key)
@@ -153,7 +176,11 @@
         return await asyncio.shield(running)
 
     def find_answer(self, key: str) -> HttpResponse | Refusal | None:
-        """Return what this node knows of a key that it once recorded."""
+        """Return the cached answer for a key.
+
+        :returns: a refusal while the request is still running, ``None`` when
+            no answer is cached.
+        """
         if key in self._running:
             return Refusal(Outcome.MAY_HAVE_RUN, Reason.KEY_IN_USE)
         return self._answers.get(key)
@@ -196,10 +223,10 @@
     async def _wait_for_store(
         self, operation: Coroutine[Any, Any, Refusal | None]
     ) -> Refusal | None:
-        """Wait for the store for a bounded time, then refuse.
+        """Wait for an operation on the store, for a limited time.
 
-        A record that reaches the store after that is of a request that does
-        not run.
+        A record may still reach the store after the timeout; its request is
+        refused all the same and does not run.
         """
         try:
             async with asyncio.timeout(STORE_TIMEOUT_S):
@@ -275,5 +302,5 @@
 def create_ledger(
     deps: SlotDependencies, query_previous_owner: PreviousOwnerQuery
 ) -> Ledger:
-    """Create a ledger that owns nothing yet."""
+    """Create a ledger that has no slots yet."""
     return Ledger(deps, query_previous_owner)
--- a/merlintrail/coordination/_ledger_slot.py
+++ b/merlintrail/coordination/_ledger_slot.py
@@ -1,4 +1,4 @@
-"""One slot of the ledger at the node that owns it."""
+"""One slot of the execution ledger, at the node that owns it."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -18,34 +18,37 @@
     LedgerSettings,
 )
 
-#: Times that taking over a slot is begun anew after a collision.
+#: Attempts to acquire a slot before its requests are refused; an attempt
+#: fails, for example, when another node writes the slot at the same time.
 MAX_ACQUISITION_ATTEMPTS: Final = 5
-#: Seconds within which a lost answer of a write must be settled.
+#: Seconds to find out whether a write took effect whose answer was lost.
 RESOLVE_TIMEOUT_S: Final = 1.5
-#: Seconds between tries to settle a lost answer.
+#: Seconds between reads of the store until the outcome of a write is known.
 RESOLVE_INTERVAL_S: Final = 0.05
-#: Seconds beyond the retention for which keys stay in the store, so that
-#: clocks may differ.
+#: Seconds beyond the retention for which keys are kept, to allow for
+#: differences between the nodes' clocks.
 TRIM_MARGIN_S: Final = 60.0
-#: Writes that may follow each other at once before the budget counts.
+#: Capacity of the token bucket that limits the rate of writes, in writes.
 WRITE_BURST: Final = 4.0
 
 
 class SlotDependencies(NamedTuple):
-    """What a slot is made with."""
+    """Dependencies of a ledger slot."""
 
     store: Store
     #: Identifier of this node.
     owner: str
+    #: Returns seconds since the epoch.
     wall_clock: Callable[[], float]
+    #: Returns a new unique string to identify a write.
     create_nonce: Callable[[], str]
 
 
 class PendingKey(NamedTuple):
-    """A record that waits for the next write."""
+    """A record that waits for the next batch to be written."""
 
     record: KeyRecord
-    #: Resolves to ``None`` once the record is in the store.
+    #: Resolves to ``None`` once the record is in the store, or to a refusal.
     completion: asyncio.Future[Refusal | None]
 
 
@@ -54,11 +57,13 @@
 
 
 class LedgerSlot:
-    """Write-ahead log of keys over compare-and-swap.
+    """Write-ahead log of keys, kept in the store by compare-and-swap.
 
-    Taking over writes the tail segment anew, so that the next write of an
-    earlier owner collides: a paused owner that wakes can start nothing.
-    While one write is in flight the next batch gathers.
+    The log is a sequence of segments, of which only the last one, the tail,
+    is appended to. Acquiring the slot rewrites the tail, which changes its
+    version: the next write of a previous owner conflicts, so that an owner
+    that was paused cannot start a request after it resumes. Records that
+    arrive during a write are gathered and written as the next batch.
     """
 
     def __init__(
@@ -77,18 +82,18 @@
         self._pending_releases: dict[str, KeyRecord] = {}
         self._lock = asyncio.Lock()
         self._writer: asyncio.Task[None] | None = None
-        #: Keys that the log has recorded.
+        #: Records of the keys in the log.
         self.index = LedgerIndex()
         #: Seconds for which keys are remembered.
         self.retention_s = settings.retention_s
 
     @property
     def is_owned(self) -> bool:
-        """Whether this node believes to own the slot."""
+        """Whether this node holds itself to be the owner of the slot."""
         return self._tail is not None
 
     async def acquire(self) -> Refusal | None:
-        """Take the slot over if it is not owned yet."""
+        """Acquire the slot unless this node owns it already."""
         async with self._lock:
             if self._tail is not None:
                 return None
@@ -104,10 +109,10 @@
             )
 
     async def append(self, record: KeyRecord) -> Refusal | None:
-        """Record a key before its request runs.
+        """Append a key to the log before its request runs.
 
-        :returns: ``None`` once the record is in the store, else a refusal;
-            the request must not run then.
+        :returns: ``None`` once the record is in the store. Otherwise a
+            refusal, and the request must not run.
         """
         completion: asyncio.Future[Refusal | None]
         completion = asyncio.get_running_loop().create_future()
@@ -117,13 +122,16 @@
         return await asyncio.shield(completion)
 
     def release(self, record: KeyRecord) -> None:
-        """Note that a recorded request was proved not to have run."""
+        """Record that a request was proved not to have run.
+
+        The release is written to the store with the next batch.
+        """
         released = record._replace(state=KeyState.RELEASED)
         self.index.put(released)
         self._pending_releases[record.key] = released
 
     def relinquish(self) -> None:
-        """Stop believing to own the slot."""
+        """Give up ownership without a write to the store."""
         self._tail = None
 
     async def _write_batches(self) -> None:
@@ -161,7 +169,7 @@
         return None
 
     async def _write_segment(self, segment: Segment) -> StoreFailure | None:
-        """Write a segment until it is known whether the write took effect."""
+        """Write a segment and find out whether the write took effect."""
         written = await self._write_once(segment)
         if isinstance(written, int):
             self._advance(segment._replace(version=written))
@@ -175,20 +183,22 @@
             return written
 
     async def _resolve_write(self, segment: Segment) -> StoreFailure | None:
-        """Read back, and write again while nothing has changed.
+        """Find out whether a write took effect whose answer was lost.
 
-        A repeated write makes the first one collide or be the only one, so
-        that it cannot take effect later unseen.
+        Reads the segment back, and repeats the write as long as the stored
+        version is still the one before it. The repeated write expects the
+        same version, so that only one of the two can take effect: once it
+        succeeds, the first one can no longer take effect late.
         """
         while True:
             await asyncio.sleep(RESOLVE_INTERVAL_S)
-            found = await self._read_segment(segment.sequence)
-            if isinstance(found, StoreFailure):
+            stored = await self._read_segment(segment.sequence)
+            if isinstance(stored, StoreFailure):
                 continue
-            if found.nonce == segment.nonce:
-                self._advance(segment._replace(version=found.version))
+            if stored.nonce == segment.nonce:
+                self._advance(segment._replace(version=stored.version))
                 return None
-            if found.version != segment.version:
+            if stored.version != segment.version:
                 return StoreFailure(StoreFault.CONFLICT, 'another writer')
             written = await self._write_once(segment)
             if isinstance(written, int):
@@ -229,31 +239,31 @@
         )
 
     async def _read_head(self) -> StoreFailure | None:
-        found = await self._deps.store.read(f'ledger/{self._number}')
-        if isinstance(found, StoreFailure):
-            if found.fault != StoreFault.NOT_FOUND:
-                return found
+        head = await self._deps.store.read(f'ledger/{self._number}')
+        if isinstance(head, StoreFailure):
+            if head.fault != StoreFault.NOT_FOUND:
+                return head
             self._first_sequence = 0
             self._head_version = 0
             return None
-        self._first_sequence = found.document['first']
-        self._head_version = found.version
+        self._first_sequence = head.document['first']
+        self._head_version = head.version
         return None
 
     async def _read_segment(self, sequence: int) -> Segment | StoreFailure:
-        found = await self._deps.store.read(self._build_key(sequence))
-        if isinstance(found, StoreFailure):
-            if found.fault == StoreFault.NOT_FOUND:
+        stored = await self._deps.store.read(self._build_key(sequence))
+        if isinstance(stored, StoreFailure):
+            if stored.fault == StoreFault.NOT_FOUND:
                 return Segment(sequence, version=0)
-            return found
-        return read_segment(sequence, found.version, found.document)
+            return stored
+        return read_segment(sequence, stored.version, stored.document)
 
     def _index_segment(self, segment: Segment) -> None:
-        """Take the records of a segment.
+        """Add the records of a segment to the index.
 
-        Only about its own records this node may know more than the log: that
-        a request was proved not to have run. A release takes back the
-        record of the same owner only.
+        The index takes precedence over the log for this node's own records,
+        because a release may not have been written yet. A release replaces
+        only a record of the same owner.
         """
         for record in segment.records:
             existing = self.index.find(record.key)
@@ -267,7 +277,7 @@
                 self.index.put(record)
 
     async def _trim(self) -> None:
-        """Remove segments whose keys are all past their retention."""
+        """Remove the oldest segment if all its keys are past retention."""
         oldest = self._deps.wall_clock() - self.retention_s - TRIM_MARGIN_S
         self.index.remove_older(oldest)
         if not self._sealed or self._sealed[0].last_recorded_at >= oldest:
