--- a/merlintrail/coordination/_heartbeat.py
+++ b/merlintrail/coordination/_heartbeat.py
@@ -1,4 +1,9 @@
-"""Heartbeats: one task for each neighbour, written straight down."""
+"""Heartbeats: one task for each neighbour, and the failure detector.
+
+A heartbeat carries the membership updates that wait for the neighbour, and
+the sender's configuration generation and table digest. A newer generation is
+pulled; tables whose digests keep differing are compared and reconciled.
+"""
 
 import asyncio
 import random
@@ -20,36 +25,39 @@
 from merlintrail.state import Member, MemberStatus
 from merlintrail.transport import TransportFailure
 
-#: Seconds between heartbeats to a neighbour without news.
+#: Seconds between heartbeats to a neighbour without updates to send.
 HEARTBEAT_INTERVAL_S: Final = 1.0
-#: The same to a neighbour in another data centre, where bytes are billed.
+#: Seconds between heartbeats to a neighbour in another data centre; longer,
+#: because traffic between data centres is billed.
 REMOTE_HEARTBEAT_INTERVAL_S: Final = 3.0
-#: Seconds between tries after a failed heartbeat.
+#: Seconds between attempts after a failed heartbeat.
 RETRY_INTERVAL_S: Final = 0.3
-#: Seconds that news waits for more to go in the same message.
+#: Seconds that an update waits for others to be sent in the same message.
 BATCH_DELAY_S: Final = 0.02
-#: Seconds between messages while a neighbour is sent much news.
+#: Seconds between messages while updates remain for a neighbour after one.
 BACKLOG_DELAY_S: Final = 0.2
-#: Seconds to wait for the answer to a heartbeat.
+#: Seconds to wait for the reply to a heartbeat.
 HEARTBEAT_TIMEOUT_S: Final = 0.7
 #: Seconds for which heartbeats fail before a neighbour is suspected.
 SUSPICION_TIMEOUT_S: Final = 1.5
-#: Seconds between sweeps over suspects and neighbours.
+#: Seconds between sweeps that expire suspects and refresh the neighbours.
 SWEEP_INTERVAL_S: Final = 0.25
-#: Lateness of a task in seconds that shows this node was paused itself.
+#: Seconds of delay of a sweep beyond which this node counts as having been
+#: paused itself.
 PAUSE_THRESHOLD_S: Final = 1.0
-#: Differing digests in a row before tables are compared.
+#: Replies that differ in the table digest but carry no updates, with no
+#: matching digest between them, after which the tables are compared.
 MISMATCHES_BEFORE_COMPARISON: Final = 4
-#: Seconds between tries to reach a member that fell silent.
+#: Seconds between attempts to reach a dead member.
 PROBE_INTERVAL_S: Final = 10.0
-#: Seconds for a message with many records.
+#: Seconds to wait for the answer to a message with many records.
 BULK_TIMEOUT_S: Final = 5.0
 
 _LOG: Final = create_logger('membership')
 
 
 class Heartbeats:
-    """Runs the tasks that keep a node in touch with its neighbours."""
+    """Exchanges heartbeats with the neighbours and detects failed members."""
 
     def __init__(
         self,
@@ -69,7 +77,7 @@
         self._refreshed_digest = 0
 
     async def run(self) -> None:
-        """Keep the neighbours' tasks and sweep suspects, until cancelled."""
+        """Sweep suspects, neighbours and dead members until cancelled."""
         swept_at = self._clock()
         try:
             while True:
@@ -84,7 +92,7 @@
                 task.cancel()
 
     def refresh_neighbours(self) -> None:
-        """Start and stop tasks as the members change."""
+        """Start and stop heartbeat tasks as the neighbours change."""
         chosen = {
             member.node_id: member
             for member in self._membership.choose_neighbours()
@@ -103,7 +111,7 @@
     def handle_gossip(
         self, document: object
     ) -> Mapping[str, Any] | DecodeFailure:
-        """Take a neighbour's message and build the answer."""
+        """Apply a gossip message and build the reply."""
         gossip = decode_record(Gossip, document)
         if isinstance(gossip, DecodeFailure):
             return gossip
@@ -111,7 +119,10 @@
         return encode_gossip(self._membership.build_gossip(gossip.sender))
 
     async def join(self, address: str) -> bool:
-        """Introduce this node to another and take over what it knows."""
+        """Send the own record to another node and merge what it returns.
+
+        :returns: whether the node answered.
+        """
         answer = await self._peers.send_request(
             address,
             'join',
@@ -127,7 +138,7 @@
         return True
 
     def handle_join(self, document: dict[str, Any]) -> dict[str, object]:
-        """Take a new member and tell it everything."""
+        """Merge the record of a joining node; return all that is known."""
         self._membership.accept_members([document.get('member', ())], '')
         self.refresh_neighbours()
         return {
@@ -138,7 +149,7 @@
         }
 
     def handle_comparison(self, document: dict[str, Any]) -> dict[str, object]:
-        """Return the members of the parts in which two tables differ."""
+        """Merge the sender's members; return those of differing buckets."""
         members = document.get('members', ())
         self._membership.accept_members(members, str(document.get('sender')))
         differing = self._membership.list_differing(document.get('buckets', ()))
@@ -147,14 +158,20 @@
     def handle_configuration(
         self, document: dict[str, Any]
     ) -> SectionedEnvelope | None:
-        """Return the sections that the asker does not have."""
+        """Return the sections that the requesting node does not have.
+
+        :returns: ``None`` when this node has no configuration.
+        """
         envelope = self._membership.holder.envelope
         if envelope is None:
             return None
         return build_difference(envelope, document.get('hashes', {}))
 
     async def pull_configuration(self, address: str) -> bool:
-        """Fetch the configuration from another node."""
+        """Fetch the configuration from another node.
+
+        :returns: whether the configuration was accepted.
+        """
         holder = self._membership.holder
         hashes: dict[str, str] = {}
         if holder.envelope is not None:
@@ -174,12 +191,15 @@
         return envelope is not None and holder.offer(envelope)
 
     def notify_neighbours(self) -> None:
-        """Send to every neighbour at once, as after a new generation."""
+        """Wake every heartbeat task, so that it sends a message at once.
+
+        Called after a new configuration generation was accepted.
+        """
         for outbox in self._membership.outboxes.values():
             outbox.event.set()
 
     async def flush_outboxes(self) -> None:
-        """Send waiting news to every neighbour and wait for it."""
+        """Send one heartbeat to every neighbour and wait for the replies."""
         await asyncio.gather(
             *(
                 self._exchange(member, is_fresh=False)
@@ -305,7 +325,10 @@
             self.notify_neighbours()
 
     def _check_silence(self, member: Member, failing_since: float) -> None:
-        """Suspect a member whose heartbeats fail, unless this node slept."""
+        """Suspect a member whose heartbeats failed for the whole timeout.
+
+        The time starts anew when this node itself was paused.
+        """
         since = max(failing_since, self._paused_at)
         if self._clock() - since > SUSPICION_TIMEOUT_S:
             self._suspect(member)
@@ -340,7 +363,7 @@
             self.refresh_neighbours()
 
     def _probe_dead(self) -> None:
-        """Try to reach a member that fell silent, in case it is back."""
+        """Try to reach a random dead member, in case it is back."""
         dead = [
             member
             for member in self._membership.table
@@ -352,6 +375,7 @@
             probe.add_done_callback(_consume_exception)
 
     async def _probe(self, member: Member) -> None:
+        """Send a dead member its record, which it refutes if it is alive."""
         answer = await self._peers.send_request(
             member.peer_address,
             'compare',
@@ -368,5 +392,6 @@
 
 
 def _consume_exception(task: asyncio.Task[None]) -> None:
+    """Retrieve a task's exception, so that asyncio does not report it."""
     if not task.cancelled():
         task.exception()
--- a/merlintrail/coordination/_membership.py
+++ b/merlintrail/coordination/_membership.py
@@ -1,4 +1,4 @@
-"""Membership: the own record, merging news, and passing it on."""
+"""Membership: a node's own record, and updates merged and gossiped on."""
 
 from collections.abc import Callable, Iterable, Sequence
 from typing import Any, Final, NamedTuple
@@ -28,22 +28,29 @@
     Suspicion,
 )
 
-#: Seconds for a suspected member to refute before it counts as dead.
+#: Seconds that a suspected member has to refute the suspicion before it is
+#: declared dead.
 REFUTATION_TIMEOUT_S: Final = 1.5
-#: Parts of the member table that are compared one by one.
+#: Buckets into which the member table is divided for comparison.
 BUCKET_COUNT: Final = 64
 
 
 class MembershipState(NamedTuple):
-    """What the membership keeps up to date."""
+    """State of a node that its membership keeps up to date."""
 
     table: MemberTable
+    #: Holds the configuration in force.
     holder: ConfigurationHolder
+    #: Suspicions against requests that may crash backend servers.
     quarantine: Quarantine
 
 
 class Membership:
-    """The own record of a node, and the news that it takes and passes on."""
+    """Merges received updates and queues new ones for the neighbours.
+
+    Holds the node's own record. Claims of other nodes that take precedence
+    over it, such as a suspicion, are refuted by a higher version.
+    """
 
     def __init__(
         self,
@@ -59,25 +66,25 @@
         self.table = state.table
         self.holder = state.holder
         self.quarantine = state.quarantine
-        #: News that waits, by the neighbour's identifier.
+        #: Updates that wait to be sent, by the neighbour's identifier.
         self.outboxes: dict[str, Outbox] = {}
         self.table.add_listener(self._track_suspects)
         self.table.merge([own])
 
     @property
     def own(self) -> Member:
-        """The own record as told to others."""
+        """The node's own record, as it is sent to other nodes."""
         return self._own
 
     def update_own(self, **changes: Any) -> None:
-        """Change the own record and tell everybody."""
+        """Change fields of the own record and gossip it."""
         changed = self._own._replace(**changes)
         if changed != self._own:
             self._own = changed._replace(version=self._own.version + 1)
             self._merge_members([self._own], sender='')
 
     def choose_neighbours(self) -> list[Member]:
-        """Return the neighbours among the members present."""
+        """Return the neighbours, chosen among the members present."""
         return choose_neighbours(self._own, self.table.list_present())
 
     def build_gossip(self, node_id: str) -> Gossip:
@@ -101,7 +108,7 @@
         )
 
     def requeue(self, node_id: str, gossip: Gossip) -> None:
-        """Return the news of a message that did not arrive."""
+        """Queue the updates of a message again that did not arrive."""
         outbox = self.outboxes.get(node_id)
         if outbox is None or not gossip.has_updates:
             return
@@ -112,7 +119,7 @@
         outbox.requeue([*gossip.members, *members], list(gossip.suspicions))
 
     def accept_gossip(self, gossip: Gossip) -> None:
-        """Take the news of a message."""
+        """Merge the updates of a gossip message."""
         members = read_members(gossip.members)
         statuses = self._complete_statuses(read_statuses(gossip.statuses))
         self._merge_members([*members, *statuses], gossip.sender)
@@ -121,21 +128,24 @@
         )
 
     def accept_members(self, records: Sequence[Any], sender: str) -> None:
-        """Take whole member records."""
+        """Merge complete member records."""
         self._merge_members(read_members(records), sender)
 
     def accept_suspicions(self, records: Sequence[Any], sender: str) -> None:
-        """Take suspicions against requests."""
+        """Merge suspicions against requests."""
         self._merge_suspicions(read_suspicions(records), sender)
 
     def gossip_suspicions(self, suspicions: Iterable[Suspicion]) -> None:
-        """Tell everybody of suspicions found here."""
+        """Queue suspicions that this node found for every neighbour."""
         for suspicion in suspicions:
             for outbox in self.outboxes.values():
                 outbox.put_suspicion(suspicion)
 
     def suspect(self, node_id: str) -> bool:
-        """Suspect a member that fell silent; return whether it is news."""
+        """Mark a member as suspect.
+
+        :returns: whether its status changed.
+        """
         member = self.table.find(node_id)
         if member is None or member.status >= MemberStatus.SUSPECT:
             return False
@@ -144,10 +154,10 @@
         return True
 
     def expire_suspects(self) -> list[Member]:
-        """Count suspects as dead that did not refute; return them.
+        """Mark suspects as dead whose time to refute is over; return them.
 
-        Nobody is told: every node has heard the suspicion and comes to the
-        same conclusion by itself.
+        The change is not gossiped: the suspicion was, and each node that
+        received it expires it by itself.
         """
         cutoff = self._clock() - REFUTATION_TIMEOUT_S
         expired = [
@@ -160,15 +170,18 @@
         return self.table.merge(dead)
 
     def compute_buckets(self) -> list[str]:
-        """Compute the digests of the parts of the member table."""
+        """Compute the digest of each bucket of the member table."""
         digests = [0 for _ in range(BUCKET_COUNT)]
         for member in self.table:
-            news = f'{member.node_id} {member.order}'
-            digests[_find_bucket(member.node_id)] ^= compute_hash(news)
+            entry = f'{member.node_id} {member.order}'
+            digests[_find_bucket(member.node_id)] ^= compute_hash(entry)
         return [f'{digest:x}' for digest in digests]
 
     def list_differing(self, buckets: Sequence[str]) -> list[Member]:
-        """Return the members of the parts that differ from another's."""
+        """Return the members of buckets whose digests differ.
+
+        :param buckets: digests of the other node's buckets.
+        """
         own = self.compute_buckets()
         differing = {
             index
@@ -181,19 +194,24 @@
             if _find_bucket(member.node_id) in differing
         ]
 
-    def _merge_members(self, news: Sequence[Member], sender: str) -> None:
-        refuted = [self._refute(member) for member in news]
+    def _merge_members(self, members: Sequence[Member], sender: str) -> None:
+        refuted = [self._refute(member) for member in members]
         for member in self.table.merge(refuted):
             for node_id, outbox in self.outboxes.items():
                 if node_id != sender:
                     outbox.put_member(member)
         sender_outbox = self.outboxes.get(sender)
         if sender_outbox is not None:
-            for member in news:
+            for member in members:
                 sender_outbox.drop_member(member)
 
     def _refute(self, member: Member) -> Member:
-        """Answer false news of this node with a higher version."""
+        """Return the record to merge: the own one if it must be refuted.
+
+        An update that takes precedence over the own record was made by
+        another node, or by an earlier process with a higher version. The own
+        record gets a version above it.
+        """
         is_own = member.node_id == self._own.node_id
         if not is_own or member.order <= self._own.order:
             return member
@@ -206,11 +224,15 @@
     def _complete_statuses(
         self, statuses: Iterable[StatusUpdate]
     ) -> list[Member]:
+        """Apply status updates to the records of the members.
+
+        Updates of unknown members and of earlier incarnations are dropped.
+        """
         completed = []
         for status in statuses:
-            known = self.table.find(status.node_id)
-            if known is not None and known.incarnation <= status.incarnation:
-                completed.append(known._replace(**status._asdict()))
+            member = self.table.find(status.node_id)
+            if member is not None and member.incarnation <= status.incarnation:
+                completed.append(member._replace(**status._asdict()))
         return completed
 
     def _merge_suspicions(
@@ -224,7 +246,7 @@
                 if node_id != sender:
                     outbox.put_suspicion(suspicion)
 
-    def _track_suspects(self, known: Member | None, member: Member) -> None:
+    def _track_suspects(self, previous: Member | None, member: Member) -> None:
         if member.status == MemberStatus.SUSPECT:
             self._suspected_at[member.node_id] = self._clock()
         else:
--- a/merlintrail/coordination/_relay.py
+++ b/merlintrail/coordination/_relay.py
@@ -1,4 +1,9 @@
-"""Relays: the few nodes of a data centre that watch the store."""
+"""Relays, the few nodes of each data centre that watch the store.
+
+A relay holds one of the data centre's relay slots in the store by a lease. It
+passes configurations on by gossip and joins relays that its node does not
+know yet.
+"""
 
 import asyncio
 import random
@@ -23,64 +28,68 @@
 
 #: Prefix of the keys under which relays announce themselves.
 RELAY_PREFIX: Final = 'relay/'
-#: Relays in each data centre.
+#: Relay slots of each data centre.
 RELAYS_PER_DATA_CENTRE: Final = 2
-#: Share of checks in which any node tries for a free place, in case that
-#: those whose turn it is cannot reach the store.
+#: Probability that a node which is not preferred tries for a free slot at a
+#: check, in case the preferred nodes cannot reach the store.
 SUBSTITUTE_PROBABILITY: Final = 0.02
-#: Seconds that a relay's lease lasts, and between its renewals.
+#: Seconds until a relay's lease expires unless it is renewed.
 LEASE_DURATION_S: Final = 6.0
+#: Seconds between renewals of the lease.
 RENEWAL_INTERVAL_S: Final = 2.0
-#: Seconds of one watch.
+#: Seconds for which one watch waits for changes.
 WATCH_TIMEOUT_S: Final = 20.0
-#: Seconds between checks whether the data centre lacks a relay.
+#: Seconds between checks for a free relay slot in the data centre.
 CHECK_INTERVAL_S: Final = 1.0
-#: Seconds between looks for relays that are not known.
+#: Seconds between polls of the store for unknown relays.
 DISCOVERY_INTERVAL_S: Final = 5.0
-#: Seconds after its beginning for which a relay looks more often.
+#: Seconds after its start during which a relay polls at the eager interval.
 EAGER_DISCOVERY_PERIOD_S: Final = 20.0
+#: Seconds between polls during that period.
 EAGER_DISCOVERY_INTERVAL_S: Final = 0.5
-#: Seconds before the first and the longest pause after a store failure.
+#: Seconds of the first pause after a store failure or a failed attempt to
+#: acquire a slot; each further failure doubles it.
 MIN_BACKOFF_S: Final = 0.2
+#: Upper limit of the doubled pause, in seconds.
 MAX_BACKOFF_S: Final = 5.0
 
 _LOG: Final = create_logger('relay')
 
 
 def build_relay_key(data_centre: str, slot: int) -> str:
-    """Build the key under which a relay announces itself."""
+    """Return the store key of a relay slot."""
     return f'{RELAY_PREFIX}{data_centre}/{slot}'
 
 
 class RelayAnnouncement(NamedTuple):
-    """A relay as it announces itself in the store."""
+    """A relay that the store lists."""
 
     data_centre: str
-    #: ``host:port`` for nodes.
+    #: ``host:port`` at which the relay accepts messages from other nodes.
     address: str
 
 
 async def find_relays(
     store: Store, *, may_be_stale: bool = False
 ) -> list[RelayAnnouncement]:
-    """Return all relays; none when the store is away.
+    """Return the relays of all data centres; none if the store fails.
 
-    :param may_be_stale: whether places seconds old will do.
+    :param may_be_stale: whether a listing that is seconds old suffices.
     """
-    found = await store.read_range(RELAY_PREFIX, may_be_stale=may_be_stale)
-    if isinstance(found, StoreFailure):
+    listing = await store.read_range(RELAY_PREFIX, may_be_stale=may_be_stale)
+    if isinstance(listing, StoreFailure):
         return []
     return [
         RelayAnnouncement(
             entry.key.removeprefix(RELAY_PREFIX).partition('/')[0],
             str(entry.document['address']),
         )
-        for entry in found.entries
+        for entry in listing.entries
     ]
 
 
 class Relay:
-    """Takes a relay's place when one is free, and then watches the store."""
+    """Acquires a free relay slot and watches the store while it holds it."""
 
     def __init__(
         self,
@@ -96,7 +105,7 @@
         self._backoff_s = MIN_BACKOFF_S
 
     async def run(self) -> None:
-        """Be a candidate, then a relay, then a candidate again."""
+        """Check for a free slot, serve as a relay, and start over."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S * self._rng.uniform(0.7, 1.3))
             slot = self._choose_slot()
@@ -110,14 +119,14 @@
             await self._serve(lease)
 
     async def fetch_configuration(self) -> StoreValue | StoreFailure:
-        """Read the document from the store and offer it."""
-        found = await self._store.read(CONFIGURATION_KEY)
-        if isinstance(found, StoreValue):
-            self._offer_configuration(found)
-        return found
+        """Read the configuration from the store and offer it to the node."""
+        stored = await self._store.read(CONFIGURATION_KEY)
+        if isinstance(stored, StoreValue):
+            self._offer_configuration(stored)
+        return stored
 
     def _choose_slot(self) -> int | None:
-        """Return the place that this node should take, if any."""
+        """Return the slot that this node should try for, if any."""
         own = self._membership.own
         if own.status != MemberStatus.ALIVE:
             return None
@@ -156,16 +165,16 @@
         return None
 
     async def _claim_slot(self, slot: int, lease: str) -> bool:
-        """Write the key of a place that is free, or was an ended process's."""
+        """Write the key of a slot that is free or abandoned."""
         own = self._membership.own
         key = build_relay_key(own.data_centre, slot)
-        found = await self._store.read(key)
+        current = await self._store.read(key)
         version = 0
-        if isinstance(found, StoreValue):
-            if not self._is_abandoned(found):
+        if isinstance(current, StoreValue):
+            if not self._is_abandoned(current):
                 return False
-            version = found.version
-        elif found.fault != StoreFault.NOT_FOUND:
+            version = current.version
+        elif current.fault != StoreFault.NOT_FOUND:
             return False
         document = {
             'address': own.peer_address,
@@ -174,10 +183,10 @@
         written = await self._store.write(key, document, version, lease)
         return isinstance(written, int)
 
-    def _is_abandoned(self, found: StoreValue) -> bool:
-        """Tell whether another process now has the address of a relay."""
-        address = str(found.document['address'])
-        incarnation = found.document.get('incarnation', 0)
+    def _is_abandoned(self, announcement: StoreValue) -> bool:
+        """Return whether a later process took over the relay's address."""
+        address = str(announcement.document['address'])
+        incarnation = announcement.document.get('incarnation', 0)
         return any(
             member.peer_address == address and member.incarnation > incarnation
             for member in self._membership.table.list_present()
@@ -204,7 +213,10 @@
         await self._store.revoke_lease(lease)
 
     async def _keep_lease(self, lease: str) -> None:
-        """Return when the lease is lost; a store outage does not end it."""
+        """Renew the lease until it expires or this node stops being alive.
+
+        Other failures of the store are retried at the next renewal.
+        """
         while self._membership.own.status == MemberStatus.ALIVE:
             await asyncio.sleep(RENEWAL_INTERVAL_S)
             failure = await self._store.renew_lease(lease)
@@ -217,29 +229,29 @@
         position = 0
         while True:
             if position:
-                found = await self._store.watch(
+                changes = await self._store.watch(
                     CONFIGURATION_KEY, position, WATCH_TIMEOUT_S
                 )
             else:
-                found = await self._store.read_range(CONFIGURATION_KEY)
-            if isinstance(found, StoreFailure):
+                changes = await self._store.read_range(CONFIGURATION_KEY)
+            if isinstance(changes, StoreFailure):
                 position = 0
-                if found.fault != StoreFault.HISTORY_LOST:
+                if changes.fault != StoreFault.HISTORY_LOST:
                     await self._back_off()
                 continue
             self._backoff_s = MIN_BACKOFF_S
-            position = found.position
-            for entry in found.entries:
+            position = changes.position
+            for entry in changes.entries:
                 if entry.key == CONFIGURATION_KEY:
                     self._offer_configuration(
                         StoreValue(entry.document, entry.version)
                     )
 
     async def _discover(self) -> None:
-        """Look for relays that this node does not know.
+        """Poll the store for relays that this node does not know.
 
-        Nodes that started at the same time, or were apart for long, find
-        each other this way.
+        This connects groups of nodes that started at the same time or were
+        partitioned for long.
         """
         started_at = asyncio.get_running_loop().time()
         while True:
@@ -253,7 +265,7 @@
             await self._join_unknown_relay()
 
     async def _join_unknown_relay(self) -> None:
-        """Introduce this node to one relay that it does not know."""
+        """Join one relay that the store lists and this node does not know."""
         relays = await find_relays(self._store, may_be_stale=True)
         known_addresses = {
             member.peer_address
@@ -265,8 +277,8 @@
         if unknown_addresses:
             await self._heartbeats.join(self._rng.choice(unknown_addresses))
 
-    def _offer_configuration(self, found: StoreValue) -> None:
-        envelope = read_envelope(found.document)
+    def _offer_configuration(self, stored: StoreValue) -> None:
+        envelope = read_envelope(stored.document)
         if isinstance(envelope, DecodeFailure):
             _LOG.error(
                 'stored document unreadable', extra={'reason': envelope.reason}
