--- a/merlintrail/coordination/__init__.py
+++ b/merlintrail/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""What nodes agree on: store, membership, configuration, ledger."""
+"""Coordination between nodes: store, membership, configuration, ledger."""
 
 from merlintrail.coordination._changes import (
     CONFIGURATION_KEY,
@@ -21,8 +21,8 @@
     find_slot,
     find_slot_owner,
 )
-from merlintrail.coordination._ledger_slot import LedgerSlot, SlotParts
-from merlintrail.coordination._membership import Knowledge, Membership
+from merlintrail.coordination._ledger_slot import LedgerSlot, SlotDependencies
+from merlintrail.coordination._membership import Membership, MembershipState
 from merlintrail.coordination._messages import Gossip
 from merlintrail.coordination._peers import (
     PEER_PATH,
@@ -31,7 +31,7 @@
 )
 from merlintrail.coordination._relay import (
     Relay,
-    RelayPlace,
+    RelayAnnouncement,
     build_relay_key,
     find_relays,
 )
@@ -68,14 +68,14 @@
     'HttpPeerClient',
     'HttpStore',
     'KeyedRequest',
-    'Knowledge',
     'Ledger',
     'LedgerSlot',
     'Membership',
+    'MembershipState',
     'PeerClient',
     'Relay',
-    'RelayPlace',
-    'SlotParts',
+    'RelayAnnouncement',
+    'SlotDependencies',
     'Store',
     'StoreCall',
     'StoreClient',
--- a/merlintrail/coordination/_heartbeat.py
+++ b/merlintrail/coordination/_heartbeat.py
@@ -1,4 +1,9 @@
-"""Heartbeats: one task for each neighbour, written straight down."""
+"""Heartbeats: one task for each neighbour, and the failure detector.
+
+A heartbeat carries the membership updates that wait for the neighbour, and
+the sender's configuration generation and table digest. A newer generation is
+pulled; tables whose digests keep differing are compared and reconciled.
+"""
 
 import asyncio
 import random
@@ -20,62 +25,65 @@
 from merlintrail.state import Member, MemberStatus
 from merlintrail.transport import TransportFailure
 
-#: Seconds between heartbeats to a neighbour without news.
+#: Seconds between heartbeats to a neighbour without updates to send.
 HEARTBEAT_INTERVAL_S: Final = 1.0
-#: The same to a neighbour in another data centre, where bytes are billed.
-REMOTE_INTERVAL_S: Final = 3.0
-#: Seconds between tries after a failed heartbeat.
+#: Seconds between heartbeats to a neighbour in another data centre; longer,
+#: because traffic between data centres is billed.
+REMOTE_HEARTBEAT_INTERVAL_S: Final = 3.0
+#: Seconds between attempts after a failed heartbeat.
 RETRY_INTERVAL_S: Final = 0.3
-#: Seconds that news waits for more to go in the same message.
+#: Seconds that an update waits for others to be sent in the same message.
 BATCH_DELAY_S: Final = 0.02
-#: Seconds between messages while a neighbour is sent much news.
-FULL_MESSAGE_DELAY_S: Final = 0.2
-#: Seconds to wait for the answer to a heartbeat.
+#: Seconds between messages while updates remain for a neighbour after one.
+BACKLOG_DELAY_S: Final = 0.2
+#: Seconds to wait for the reply to a heartbeat.
 HEARTBEAT_TIMEOUT_S: Final = 0.7
 #: Seconds for which heartbeats fail before a neighbour is suspected.
-SUSPICION_S: Final = 1.5
-#: Seconds between sweeps over suspects and neighbours.
+SUSPICION_TIMEOUT_S: Final = 1.5
+#: Seconds between sweeps that expire suspects and refresh the neighbours.
 SWEEP_INTERVAL_S: Final = 0.25
-#: Lateness of a task in seconds that shows this node was paused itself.
-PAUSE_S: Final = 1.0
-#: Differing digests in a row before tables are compared.
-DIFFERENCES_TO_COMPARE: Final = 4
-#: Seconds between tries to reach a member that fell silent.
+#: Seconds of delay of a sweep beyond which this node counts as having been
+#: paused itself.
+PAUSE_THRESHOLD_S: Final = 1.0
+#: Replies that differ in the table digest but carry no updates, with no
+#: matching digest between them, after which the tables are compared.
+MISMATCHES_BEFORE_COMPARISON: Final = 4
+#: Seconds between attempts to reach a dead member.
 PROBE_INTERVAL_S: Final = 10.0
-#: Seconds for a message with many records.
+#: Seconds to wait for the answer to a message with many records.
 BULK_TIMEOUT_S: Final = 5.0
 
 _LOG: Final = create_logger('membership')
 
 
 class Heartbeats:
-    """Runs the tasks that keep a node in touch with its neighbours."""
+    """Exchanges heartbeats with the neighbours and detects failed members."""
 
     def __init__(
         self,
         membership: Membership,
         peers: PeerClient,
         clock: Callable[[], float],
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self._membership = membership
         self._peers = peers
         self._clock = clock
-        self._source = source
+        self._rng = rng
         self._tasks: dict[str, asyncio.Task[None]] = {}
         self._pull: asyncio.Task[None] | None = None
-        self._paused_at = -PAUSE_S
+        self._paused_at = -PAUSE_THRESHOLD_S
         self._next_probe_at = 0.0
         self._refreshed_digest = 0
 
     async def run(self) -> None:
-        """Keep the neighbours' tasks and sweep suspects, until cancelled."""
+        """Sweep suspects, neighbours and dead members until cancelled."""
         swept_at = self._clock()
         try:
             while True:
                 await asyncio.sleep(SWEEP_INTERVAL_S)
                 now = self._clock()
-                if now - swept_at > SWEEP_INTERVAL_S + PAUSE_S:
+                if now - swept_at > SWEEP_INTERVAL_S + PAUSE_THRESHOLD_S:
                     self._paused_at = now
                 swept_at = now
                 self._sweep(now)
@@ -84,7 +92,7 @@
                 task.cancel()
 
     def refresh_neighbours(self) -> None:
-        """Start and stop tasks as the members change."""
+        """Start and stop heartbeat tasks as the neighbours change."""
         chosen = {
             member.node_id: member
             for member in self._membership.choose_neighbours()
@@ -97,22 +105,25 @@
             if node_id not in self._tasks:
                 self._membership.outboxes[node_id] = Outbox()
                 self._tasks[node_id] = asyncio.create_task(
-                    self._keep_touch(node_id)
+                    self._exchange_heartbeats(node_id)
                 )
 
     def handle_gossip(
         self, document: object
     ) -> Mapping[str, Any] | DecodeFailure:
-        """Take a neighbour's message and build the answer."""
+        """Apply a gossip message and build the reply."""
         gossip = decode_record(Gossip, document)
         if isinstance(gossip, DecodeFailure):
             return gossip
-        self._take_gossip(gossip)
+        self._apply_gossip(gossip)
         return encode_gossip(self._membership.build_gossip(gossip.sender))
 
     async def join(self, address: str) -> bool:
-        """Introduce this node to another and take over what it knows."""
-        answer = await self._peers.ask(
+        """Send the own record to another node and merge what it returns.
+
+        :returns: whether the node answered.
+        """
+        answer = await self._peers.send_request(
             address,
             'join',
             {'member': self._membership.own},
@@ -127,7 +138,7 @@
         return True
 
     def handle_join(self, document: dict[str, Any]) -> dict[str, object]:
-        """Take a new member and tell it everything."""
+        """Merge a joining node's record; return all members and suspicions."""
         self._membership.accept_members([document.get('member', ())], '')
         self.refresh_neighbours()
         return {
@@ -138,28 +149,34 @@
         }
 
     def handle_comparison(self, document: dict[str, Any]) -> dict[str, object]:
-        """Return the members of the parts in which two tables differ."""
+        """Merge the sender's members; return those of differing buckets."""
         members = document.get('members', ())
         self._membership.accept_members(members, str(document.get('sender')))
-        different = self._membership.list_different(document.get('buckets', ()))
-        return {'members': different}
+        differing = self._membership.list_differing(document.get('buckets', ()))
+        return {'members': differing}
 
     def handle_configuration(
         self, document: dict[str, Any]
     ) -> SectionedEnvelope | None:
-        """Return the sections that the asker does not have."""
+        """Return the sections that the requesting node does not have.
+
+        :returns: ``None`` when this node has no configuration.
+        """
         envelope = self._membership.holder.envelope
         if envelope is None:
             return None
         return build_difference(envelope, document.get('hashes', {}))
 
     async def pull_configuration(self, address: str) -> bool:
-        """Fetch the configuration from another node."""
+        """Fetch the configuration from another node.
+
+        :returns: whether the configuration was accepted.
+        """
         holder = self._membership.holder
         hashes: dict[str, str] = {}
         if holder.envelope is not None:
             hashes = hash_sections(holder.envelope.document)
-        answer = await self._peers.ask(
+        answer = await self._peers.send_request(
             address,
             'configuration',
             {'hashes': hashes},
@@ -173,13 +190,15 @@
         envelope = merge_difference(difference, holder.envelope)
         return envelope is not None and holder.apply_if_newer(envelope)
 
-    def spread(self) -> None:
-        """Send to every neighbour at once, as after a new generation."""
+    def notify_neighbours(self) -> None:
+        """Wake the heartbeat tasks, so that none waits for its interval.
+        Called after a new configuration generation was accepted.
+        """
         for outbox in self._membership.outboxes.values():
             outbox.event.set()
 
-    async def tell_now(self) -> None:
-        """Send waiting news to every neighbour and wait for it."""
+    async def flush_outboxes(self) -> None:
+        """Send one heartbeat to every neighbour and wait for the replies."""
         await asyncio.gather(
             *(
                 self._exchange(member, is_fresh=False)
@@ -188,10 +207,10 @@
             )
         )
 
-    async def _keep_touch(self, node_id: str) -> None:
+    async def _exchange_heartbeats(self, node_id: str) -> None:
         failing_since = 0.0
         is_fresh = False
-        differences = 0
+        mismatches = 0
         while True:
             member = self._membership.table.find(node_id)
             if member is None or member.has_departed:
@@ -201,21 +220,21 @@
             if reply is None:
                 failing_since = failing_since if is_fresh else sent_at
                 is_fresh = True
-                self._judge_silence(member, failing_since)
+                self._check_silence(member, failing_since)
                 await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             is_fresh = False
-            differences = self._count_difference(reply, differences)
-            if differences >= DIFFERENCES_TO_COMPARE:
-                differences = 0
+            mismatches = self._count_mismatches(reply, mismatches)
+            if mismatches >= MISMATCHES_BEFORE_COMPARISON:
+                mismatches = 0
                 await self._compare_tables(member)
-            await self._wait_for_news(member)
+            await self._wait_for_updates(member)
 
     async def _exchange(
         self, member: Member, *, is_fresh: bool
     ) -> Gossip | None:
         gossip = self._membership.build_gossip(member.node_id)
-        answer = await self._peers.ask(
+        answer = await self._peers.send_request(
             member.peer_address,
             'gossip',
             encode_gossip(gossip),
@@ -228,26 +247,26 @@
             else decode_record(Gossip, answer)
         )
         if reply is None or isinstance(reply, DecodeFailure):
-            self._membership.put_back(member.node_id, gossip)
+            self._membership.requeue(member.node_id, gossip)
             return None
         if reply.sender != member.node_id:
             return None
-        self._take_gossip(reply)
+        self._apply_gossip(reply)
         return reply
 
-    async def _wait_for_news(self, member: Member) -> None:
+    async def _wait_for_updates(self, member: Member) -> None:
         outbox = self._membership.outboxes.get(member.node_id)
         if outbox is None:
             return
         if outbox.event.is_set():
-            await asyncio.sleep(FULL_MESSAGE_DELAY_S)
+            await asyncio.sleep(BACKLOG_DELAY_S)
             return
         interval_s = HEARTBEAT_INTERVAL_S
         if member.data_centre != self._membership.own.data_centre:
-            interval_s = REMOTE_INTERVAL_S
+            interval_s = REMOTE_HEARTBEAT_INTERVAL_S
         try:
             async with asyncio.timeout(
-                interval_s * self._source.uniform(0.9, 1.1)
+                interval_s * self._rng.uniform(0.9, 1.1)
             ):
                 await outbox.event.wait()
         except TimeoutError:
@@ -256,7 +275,7 @@
 
     async def _compare_tables(self, member: Member) -> None:
         buckets = self._membership.compute_buckets()
-        answer = await self._peers.ask(
+        answer = await self._peers.send_request(
             member.peer_address,
             'compare',
             {'sender': self._membership.own.node_id, 'buckets': buckets},
@@ -265,28 +284,30 @@
         if not isinstance(answer, dict):
             return
         received = answer.get('members', ())
-        theirs = {record[0] for record in received}
-        mine = [
-            known for known in self._membership.table if known.node_id in theirs
+        their_ids = {record[0] for record in received}
+        own_members = [
+            record
+            for record in self._membership.table
+            if record.node_id in their_ids
         ]
         self._membership.accept_members(received, member.node_id)
-        await self._peers.ask(
+        await self._peers.send_request(
             member.peer_address,
             'compare',
             {
                 'sender': self._membership.own.node_id,
-                'members': mine,
+                'members': own_members,
                 'buckets': self._membership.compute_buckets(),
             },
             timeout_s=BULK_TIMEOUT_S,
         )
 
-    def _count_difference(self, reply: Gossip, differences: int) -> int:
+    def _count_mismatches(self, reply: Gossip, mismatches: int) -> int:
         if reply.digest == self._membership.table.digest:
             return 0
-        return differences if reply.has_news else differences + 1
+        return mismatches if reply.has_updates else mismatches + 1
 
-    def _take_gossip(self, gossip: Gossip) -> None:
+    def _apply_gossip(self, gossip: Gossip) -> None:
         self._membership.accept_gossip(gossip)
         sender = self._membership.table.find(gossip.sender)
         if sender is None:
@@ -296,16 +317,19 @@
 
     def _start_pull(self, address: str) -> None:
         if self._pull is None or self._pull.done():
-            self._pull = asyncio.create_task(self._pull_and_spread(address))
+            self._pull = asyncio.create_task(self._pull_and_notify(address))
 
-    async def _pull_and_spread(self, address: str) -> None:
+    async def _pull_and_notify(self, address: str) -> None:
         if await self.pull_configuration(address):
-            self.spread()
+            self.notify_neighbours()
+
+    def _check_silence(self, member: Member, failing_since: float) -> None:
+        """Suspect a member whose heartbeats failed for the whole timeout.
 
-    def _judge_silence(self, member: Member, failing_since: float) -> None:
-        """Suspect a member whose heartbeats fail, unless this node slept."""
+        The time starts anew when this node itself was paused.
+        """
         since = max(failing_since, self._paused_at)
-        if self._clock() - since > SUSPICION_S:
+        if self._clock() - since > SUSPICION_TIMEOUT_S:
             self._suspect(member)
 
     def _suspect(self, member: Member) -> None:
@@ -314,7 +338,7 @@
                 'member suspected',
                 extra={
                     'instance': member.node_id,
-                    'reason': f'silent for {SUSPICION_S} s',
+                    'reason': f'silent for {SUSPICION_TIMEOUT_S} s',
                 },
             )
 
@@ -332,25 +356,26 @@
             self._refreshed_digest = self._membership.table.digest
             self.refresh_neighbours()
         if now >= self._next_probe_at:
-            pause_s = PROBE_INTERVAL_S * self._source.uniform(0.5, 1.5)
+            pause_s = PROBE_INTERVAL_S * self._rng.uniform(0.5, 1.5)
             self._next_probe_at = now + pause_s
             self._probe_dead()
             self.refresh_neighbours()
 
     def _probe_dead(self) -> None:
-        """Try to reach a member that fell silent, in case it is back."""
+        """Try to reach a random dead member, in case it is back."""
         dead = [
             member
             for member in self._membership.table
             if member.status == MemberStatus.DEAD
         ]
         if dead:
-            member = self._source.choice(dead)
+            member = self._rng.choice(dead)
             probe = asyncio.create_task(self._probe(member))
-            probe.add_done_callback(_discard_result)
+            probe.add_done_callback(_consume_exception)
 
     async def _probe(self, member: Member) -> None:
-        answer = await self._peers.ask(
+        """Send a dead member its record, which it refutes if it is alive."""
+        answer = await self._peers.send_request(
             member.peer_address,
             'compare',
             {
@@ -365,6 +390,7 @@
             self._membership.accept_members(answer.get('members', ()), '')
 
 
-def _discard_result(task: asyncio.Task[None]) -> None:
+def _consume_exception(task: asyncio.Task[None]) -> None:
+    """Retrieve a task's exception, so that asyncio does not report it."""
     if not task.cancelled():
         task.exception()
--- a/merlintrail/coordination/_messages.py
+++ b/merlintrail/coordination/_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of the membership protocol."""
+"""Messages of the membership protocol and their JSON form."""
 
 from collections.abc import Sequence
 from typing import Any, Final, NamedTuple
@@ -12,8 +12,8 @@
 )
 
 
-class StatusNews(NamedTuple):
-    """News of a member that needs no more than its status."""
+class StatusUpdate(NamedTuple):
+    """Update of a member's status, sent in place of its whole record."""
 
     node_id: str
     incarnation: int
@@ -22,59 +22,62 @@
     status: int
 
 
-_ALWAYS_TOLD: Final = frozenset(
+#: Fields that are sent even when their value is empty or 0.
+_REQUIRED_FIELDS: Final = frozenset(
     ('sender', 'incarnation', 'generation', 'digest')
 )
 
 
 class Gossip(NamedTuple):
-    """A heartbeat with the news that the receiver may not know."""
+    """A heartbeat with updates that the receiver may not have."""
 
+    #: Identifier of the sending node.
     sender: str
+    #: Incarnation of the sending node.
     incarnation: int
     #: Generation of the configuration at the sender.
     generation: int
     #: Digest of the sender's member table.
     digest: int
-    #: Whole records of members.
+    #: Complete member records.
     members: Sequence[Any] = ()
-    #: Records of :class:`StatusNews`.
+    #: Records of :class:`StatusUpdate`.
     statuses: Sequence[Any] = ()
     #: Records of :class:`Suspicion`.
     suspicions: Sequence[Any] = ()
 
     @property
-    def has_news(self) -> bool:
-        """Whether it is more than a heartbeat."""
+    def has_updates(self) -> bool:
+        """Whether the message carries any updates."""
         return bool(self.members or self.statuses or self.suspicions)
 
 
 def encode_gossip(gossip: Gossip) -> dict[str, Any]:
-    """Return the JSON form of a message, without what is empty."""
+    """Return the JSON form of a message, without empty optional fields."""
     return {
-        name: part
-        for name, part in gossip._asdict().items()
-        if part or name in _ALWAYS_TOLD
+        name: value
+        for name, value in gossip._asdict().items()
+        if value or name in _REQUIRED_FIELDS
     }
 
 
 def read_members(records: Sequence[Any]) -> list[Member]:
-    """Read member records; a malformed one is passed over."""
+    """Decode member records; malformed ones are skipped."""
     members = [read_member(record) for record in records]
     return [member for member in members if member is not None]
 
 
-def read_statuses(records: Sequence[Any]) -> list[StatusNews]:
-    """Read status records; a malformed one is passed over."""
+def read_statuses(records: Sequence[Any]) -> list[StatusUpdate]:
+    """Decode status updates; malformed ones are skipped."""
     return [
-        StatusNews(*record)
+        StatusUpdate(*record)
         for record in records
-        if len(record) == len(StatusNews._fields)
+        if len(record) == len(StatusUpdate._fields)
         and record[3] in MemberStatus.__members__.values()
     ]
 
 
 def read_suspicions(records: Sequence[Any]) -> list[Suspicion]:
-    """Read suspicions; a malformed one is passed over."""
+    """Decode suspicions; malformed ones are skipped."""
     suspicions = [read_suspicion(record) for record in records]
     return [suspicion for suspicion in suspicions if suspicion is not None]
--- a/merlintrail/coordination/_peers.py
+++ b/merlintrail/coordination/_peers.py
@@ -1,4 +1,4 @@
-"""Messages from node to node: JSON over HTTP."""
+"""Clients for messages between nodes, JSON over HTTP."""
 
 import abc
 from typing import Any, Final
@@ -24,7 +24,7 @@
     """Sends a message to another node."""
 
     @abc.abstractmethod
-    async def ask(
+    async def send_request(
         self,
         address: str,
         subject: str,
@@ -35,6 +35,9 @@
     ) -> Any:
         """Send a message and return the decoded answer.
 
+        :param subject: kind of message, which selects its handler.
+        :param is_fresh: whether to use a new connection instead of a pooled
+            one.
         :returns: the answer's document, or a :class:`TransportFailure`.
         """
 
@@ -46,7 +49,7 @@
         self._pool = pool
         self._headers = ((FLEET_KEY_HEADER, fleet_key),)
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         subject: str,
--- a/merlintrail/coordination/_relay.py
+++ b/merlintrail/coordination/_relay.py
@@ -1,4 +1,9 @@
-"""Relays: the few nodes of a data centre that watch the store."""
+"""Relays, the few nodes of each data centre that watch the store.
+
+A relay holds one of the data centre's relay slots in the store by a lease. It
+passes configurations on by gossip and joins relays that its node does not
+know yet.
+"""
 
 import asyncio
 import random
@@ -16,108 +21,112 @@
     StoreFault,
     StoreValue,
 )
-from merlintrail.coordination._topology import compute_rank
+from merlintrail.coordination._topology import compute_hash
 from merlintrail.observability import create_logger
 from merlintrail.protocol import DecodeFailure
 from merlintrail.state import MemberStatus
 
 #: Prefix of the keys under which relays announce themselves.
 RELAY_PREFIX: Final = 'relay/'
-#: Relays in each data centre.
-RELAYS: Final = 2
-#: Share of checks in which any node tries for a free place, in case that
-#: those whose turn it is cannot reach the store.
-SUBSTITUTE_SHARE: Final = 0.02
-#: Seconds that a relay's lease lasts, and between its renewals.
-LEASE_S: Final = 6.0
-RENEWAL_S: Final = 2.0
-#: Seconds of one watch.
-WATCH_S: Final = 20.0
-#: Seconds between checks whether the data centre lacks a relay.
-CHECK_S: Final = 1.0
-#: Seconds between looks for relays that are not known.
-DISCOVERY_S: Final = 5.0
-#: Seconds after its beginning for which a relay looks more often.
-EAGER_S: Final = 20.0
-EAGER_DISCOVERY_S: Final = 0.5
-#: Seconds before the first and the longest pause after a store failure.
-MIN_PAUSE_S: Final = 0.2
-MAX_PAUSE_S: Final = 5.0
+#: Relay slots of each data centre.
+RELAYS_PER_DATA_CENTRE: Final = 2
+#: Probability that a node which is not preferred tries for a free slot at a
+#: check, in case the preferred nodes cannot reach the store.
+SUBSTITUTE_PROBABILITY: Final = 0.02
+#: Seconds until a relay's lease expires unless it is renewed.
+LEASE_DURATION_S: Final = 6.0
+#: Seconds between renewals of the lease.
+RENEWAL_INTERVAL_S: Final = 2.0
+#: Seconds for which one watch waits for changes.
+WATCH_TIMEOUT_S: Final = 20.0
+#: Seconds between checks for a free relay slot in the data centre.
+CHECK_INTERVAL_S: Final = 1.0
+#: Seconds between polls of the store for unknown relays.
+DISCOVERY_INTERVAL_S: Final = 5.0
+#: Seconds after its start during which a relay polls at the eager interval.
+EAGER_DISCOVERY_PERIOD_S: Final = 20.0
+#: Seconds between polls during that period.
+EAGER_DISCOVERY_INTERVAL_S: Final = 0.5
+#: Seconds of the first pause after a store failure or a failed attempt to
+#: acquire a slot; each further failure doubles it.
+MIN_BACKOFF_S: Final = 0.2
+#: Upper limit of the doubled pause, in seconds.
+MAX_BACKOFF_S: Final = 5.0
 
 _LOG: Final = create_logger('relay')
 
 
-def build_relay_key(data_centre: str, place: int) -> str:
-    """Build the key under which a relay announces itself."""
-    return f'{RELAY_PREFIX}{data_centre}/{place}'
+def build_relay_key(data_centre: str, slot: int) -> str:
+    """Return the store key of a relay slot."""
+    return f'{RELAY_PREFIX}{data_centre}/{slot}'
 
 
-class RelayPlace(NamedTuple):
-    """A relay as it announces itself in the store."""
+class RelayAnnouncement(NamedTuple):
+    """A relay that the store lists."""
 
     data_centre: str
-    #: ``host:port`` for nodes.
+    #: ``host:port`` at which the relay accepts messages from other nodes.
     address: str
 
 
 async def find_relays(
     store: Store, *, may_be_stale: bool = False
-) -> list[RelayPlace]:
-    """Return all relays; none when the store is away.
+) -> list[RelayAnnouncement]:
+    """Return the relays of all data centres; none if the store fails.
 
-    :param may_be_stale: whether places seconds old will do.
+    :param may_be_stale: whether a listing that is seconds old suffices.
     """
-    found = await store.read_range(RELAY_PREFIX, may_be_stale=may_be_stale)
-    if isinstance(found, StoreFailure):
+    listing = await store.read_range(RELAY_PREFIX, may_be_stale=may_be_stale)
+    if isinstance(listing, StoreFailure):
         return []
     return [
-        RelayPlace(
+        RelayAnnouncement(
             entry.key.removeprefix(RELAY_PREFIX).partition('/')[0],
             str(entry.document['address']),
         )
-        for entry in found.entries
+        for entry in listing.entries
     ]
 
 
 class Relay:
-    """Takes a relay's place when one is free, and then watches the store."""
+    """Acquires a free relay slot and watches the store while it holds it."""
 
     def __init__(
         self,
         membership: Membership,
         heartbeats: Heartbeats,
         store: Store,
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
         self._membership = membership
         self._heartbeats = heartbeats
         self._store = store
-        self._source = source
-        self._pause_s = MIN_PAUSE_S
+        self._rng = rng
+        self._backoff_s = MIN_BACKOFF_S
 
     async def run(self) -> None:
-        """Be a candidate, then a relay, then a candidate again."""
+        """Check for a free slot, serve as a relay, and start over."""
         while True:
-            await asyncio.sleep(CHECK_S * self._source.uniform(0.7, 1.3))
-            place = self._find_free_place()
-            if place is None:
+            await asyncio.sleep(CHECK_INTERVAL_S * self._rng.uniform(0.7, 1.3))
+            slot = self._choose_slot()
+            if slot is None:
                 continue
-            lease = await self._take_place(place)
+            lease = await self._acquire_slot(slot)
             if lease is None:
-                await self._pause()
+                await self._back_off()
                 continue
-            self._pause_s = MIN_PAUSE_S
+            self._backoff_s = MIN_BACKOFF_S
             await self._serve(lease)
 
-    async def fetch(self) -> StoreValue | StoreFailure:
-        """Read the document from the store and offer it."""
-        found = await self._store.read(CONFIGURATION_KEY)
-        if isinstance(found, StoreValue):
-            self._offer(found)
-        return found
+    async def fetch_configuration(self) -> StoreValue | StoreFailure:
+        """Read the configuration from the store and offer it to the node."""
+        stored = await self._store.read(CONFIGURATION_KEY)
+        if isinstance(stored, StoreValue):
+            self._offer_configuration(stored)
+        return stored
 
-    def _find_free_place(self) -> int | None:
-        """Return the place that this node should take, if any."""
+    def _choose_slot(self) -> int | None:
+        """Return the slot that this node should try for, if any."""
         own = self._membership.own
         if own.status != MemberStatus.ALIVE:
             return None
@@ -127,41 +136,45 @@
             if member.data_centre == own.data_centre
             and member.status == MemberStatus.ALIVE
         ]
-        free = RELAYS - sum(1 for member in alive if member.is_relay)
-        candidates = sorted(
+        free = RELAYS_PER_DATA_CENTRE - sum(
+            1 for member in alive if member.is_relay
+        )
+        preferred = sorted(
             (member for member in alive if not member.is_relay),
-            key=lambda member: compute_rank(member.node_id),
+            key=lambda member: compute_hash(member.node_id),
         )[: max(0, free)]
-        names = [member.node_id for member in candidates]
-        is_first_choice = own.node_id in names
-        is_substitute = self._source.random() < SUBSTITUTE_SHARE
-        if free <= 0 or not (is_first_choice or is_substitute):
+        preferred_ids = [member.node_id for member in preferred]
+        is_preferred = own.node_id in preferred_ids
+        is_substitute = self._rng.random() < SUBSTITUTE_PROBABILITY
+        if free <= 0 or not (is_preferred or is_substitute):
             return None
-        return (compute_rank(own.node_id) + self._source.getrandbits(1)) % (
-            RELAYS
+        return (compute_hash(own.node_id) + self._rng.getrandbits(1)) % (
+            RELAYS_PER_DATA_CENTRE
         )
 
-    async def _take_place(self, place: int) -> str | None:
-        lease = await self._store.grant_lease(LEASE_S)
+    async def _acquire_slot(self, slot: int) -> str | None:
+        lease = await self._store.grant_lease(LEASE_DURATION_S)
         if isinstance(lease, StoreFailure):
             return None
-        for offset in range(RELAYS):
-            if await self._claim_place((place + offset) % RELAYS, lease):
+        for offset in range(RELAYS_PER_DATA_CENTRE):
+            if await self._claim_slot(
+                (slot + offset) % RELAYS_PER_DATA_CENTRE, lease
+            ):
                 return lease
         await self._store.revoke_lease(lease)
         return None
 
-    async def _claim_place(self, place: int, lease: str) -> bool:
-        """Write the key of a place that is free, or was an ended process's."""
+    async def _claim_slot(self, slot: int, lease: str) -> bool:
+        """Write the key of a slot that is free or abandoned."""
         own = self._membership.own
-        key = build_relay_key(own.data_centre, place)
-        found = await self._store.read(key)
+        key = build_relay_key(own.data_centre, slot)
+        current = await self._store.read(key)
         version = 0
-        if isinstance(found, StoreValue):
-            if not self._is_abandoned(found):
+        if isinstance(current, StoreValue):
+            if not self._is_abandoned(current):
                 return False
-            version = found.version
-        elif found.fault != StoreFault.NOT_FOUND:
+            version = current.version
+        elif current.fault != StoreFault.NOT_FOUND:
             return False
         document = {
             'address': own.peer_address,
@@ -170,10 +183,10 @@
         written = await self._store.write(key, document, version, lease)
         return isinstance(written, int)
 
-    def _is_abandoned(self, found: StoreValue) -> bool:
-        """Tell whether another process now has the address of a relay."""
-        address = str(found.document['address'])
-        incarnation = found.document.get('incarnation', 0)
+    def _is_abandoned(self, announcement: StoreValue) -> bool:
+        """Return whether a later process took over the relay's address."""
+        address = str(announcement.document['address'])
+        incarnation = announcement.document.get('incarnation', 0)
         return any(
             member.peer_address == address and member.incarnation > incarnation
             for member in self._membership.table.list_active()
@@ -193,16 +206,19 @@
         finally:
             for task in (watch, discovery, renewal):
                 task.cancel()
-            await self._resign(lease)
+            await self._step_down(lease)
 
-    async def _resign(self, lease: str) -> None:
+    async def _step_down(self, lease: str) -> None:
         self._membership.update_own(is_relay=False)
         await self._store.revoke_lease(lease)
 
     async def _keep_lease(self, lease: str) -> None:
-        """Return when the lease is lost; a store outage does not end it."""
+        """Renew the lease until it expires or this node stops being alive.
+
+        Other failures of the store are retried at the next renewal.
+        """
         while self._membership.own.status == MemberStatus.ALIVE:
-            await asyncio.sleep(RENEWAL_S)
+            await asyncio.sleep(RENEWAL_INTERVAL_S)
             failure = await self._store.renew_lease(lease)
             if failure is None:
                 continue
@@ -213,56 +229,64 @@
         position = 0
         while True:
             if position:
-                found = await self._store.watch(
-                    CONFIGURATION_KEY, position, WATCH_S
+                changes = await self._store.watch(
+                    CONFIGURATION_KEY, position, WATCH_TIMEOUT_S
                 )
             else:
-                found = await self._store.read_range(CONFIGURATION_KEY)
-            if isinstance(found, StoreFailure):
+                changes = await self._store.read_range(CONFIGURATION_KEY)
+            if isinstance(changes, StoreFailure):
                 position = 0
-                if found.fault != StoreFault.HISTORY_LOST:
-                    await self._pause()
+                if changes.fault != StoreFault.HISTORY_LOST:
+                    await self._back_off()
                 continue
-            self._pause_s = MIN_PAUSE_S
-            position = found.position
-            for entry in found.entries:
+            self._backoff_s = MIN_BACKOFF_S
+            position = changes.position
+            for entry in changes.entries:
                 if entry.key == CONFIGURATION_KEY:
-                    self._offer(StoreValue(entry.document, entry.version))
+                    self._offer_configuration(
+                        StoreValue(entry.document, entry.version)
+                    )
 
     async def _discover(self) -> None:
-        """Look for relays that this node does not know.
+        """Poll the store for relays that this node does not know.
 
-        Nodes that started at the same time, or were apart for long, find
-        each other this way.
+        This connects groups of nodes that started at the same time or were
+        partitioned for long.
         """
         started_at = asyncio.get_running_loop().time()
         while True:
             age_s = asyncio.get_running_loop().time() - started_at
-            interval_s = DISCOVERY_S if age_s > EAGER_S else EAGER_DISCOVERY_S
-            await asyncio.sleep(interval_s * self._source.uniform(0.5, 1.5))
-            await self._look_for_relay()
+            interval_s = (
+                DISCOVERY_INTERVAL_S
+                if age_s > EAGER_DISCOVERY_PERIOD_S
+                else EAGER_DISCOVERY_INTERVAL_S
+            )
+            await asyncio.sleep(interval_s * self._rng.uniform(0.5, 1.5))
+            await self._join_unknown_relay()
 
-    async def _look_for_relay(self) -> None:
-        """Introduce this node to one relay that it does not know."""
+    async def _join_unknown_relay(self) -> None:
+        """Join one relay that the store lists and this node does not know."""
         relays = await find_relays(self._store, may_be_stale=True)
-        known = {
+        known_addresses = {
             member.peer_address
             for member in self._membership.table.list_active()
         }
-        unknown = sorted({relay.address for relay in relays} - known)
-        if unknown:
-            await self._heartbeats.join(self._source.choice(unknown))
+        unknown_addresses = sorted(
+            {relay.address for relay in relays} - known_addresses
+        )
+        if unknown_addresses:
+            await self._heartbeats.join(self._rng.choice(unknown_addresses))
 
-    def _offer(self, found: StoreValue) -> None:
-        envelope = read_envelope(found.document)
+    def _offer_configuration(self, stored: StoreValue) -> None:
+        envelope = read_envelope(stored.document)
         if isinstance(envelope, DecodeFailure):
             _LOG.error(
                 'stored document unreadable', extra={'reason': envelope.reason}
             )
             return
         if self._membership.holder.apply_if_newer(envelope):
-            self._heartbeats.spread()
+            self._heartbeats.notify_neighbours()
 
-    async def _pause(self) -> None:
-        await asyncio.sleep(self._pause_s * self._source.uniform(0.5, 1.5))
-        self._pause_s = min(MAX_PAUSE_S, self._pause_s * 2)
+    async def _back_off(self) -> None:
+        await asyncio.sleep(self._backoff_s * self._rng.uniform(0.5, 1.5))
+        self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * 2)
--- a/merlintrail/coordination/tests/peer_world.py
+++ b/merlintrail/coordination/tests/peer_network.py
@@ -1,4 +1,4 @@
-"""Nodes in virtual time that exchange heartbeats in memory."""
+"""In-memory network of nodes that exchange heartbeats in virtual time."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 
 from merlintrail.coordination import (
     Heartbeats,
-    Knowledge,
+    MembershipState,
     Membership,
     PeerClient,
 )
@@ -43,39 +43,41 @@
 }
 
 
-class World:
-    """Nodes, and which pairs of them can talk."""
+class PeerNetwork:
+    """Nodes and the messages between them, with pauses and partitions."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, PeerNode] = {}
+        #: Names of nodes that neither send nor receive.
         self.paused: set[str] = set()
-        #: Groups that cannot reach each other.
-        self.sides: dict[str, int] = {}
+        #: Partition of each node; different ones cannot reach each other.
+        self.partitions: dict[str, int] = {}
+        #: Bytes of messages and answers, by the node that sent them.
         self.bytes_sent: Counter[str] = Counter()
 
-    def can_talk(self, sender: str, receiver: str) -> bool:
-        """Tell whether a message arrives."""
+    def can_reach(self, sender: str, receiver: str) -> bool:
+        """Return whether a message arrives."""
         is_up = receiver in self.nodes
-        is_awake = not self.paused & {sender, receiver}
+        is_running = not self.paused & {sender, receiver}
         return (
             is_up
-            and is_awake
-            and self.sides.get(sender) == self.sides.get(receiver)
+            and is_running
+            and self.partitions.get(sender) == self.partitions.get(receiver)
         )
 
     def add(self, name: str, data_centre: str, incarnation: int = 1) -> None:
-        """Start a node that joins through any other."""
+        """Start a node that joins through up to two others."""
         contacts = [other for other in self.nodes if other != name]
         node = PeerNode(self, name, data_centre, incarnation)
         self.nodes[name] = node
         node.start(contacts[:2])
 
     def kill(self, name: str) -> None:
-        """End a node without a word."""
+        """Stop a node without notifying the others."""
         self.nodes.pop(name).stop()
 
     def count_views(self, name: str, status: MemberStatus) -> int:
-        """Count the nodes that see a member in a state."""
+        """Count the nodes whose tables have a member in a status."""
         views = [
             node.table.find(name)
             for other, node in self.nodes.items()
@@ -85,24 +87,24 @@
             1 for view in views if view is not None and view.status == status
         )
 
-    def have_same_view(self, names: Iterable[str]) -> bool:
-        """Tell whether nodes know the same."""
+    def have_equal_tables(self, names: Iterable[str]) -> bool:
+        """Return whether the member tables of nodes are equal."""
         return len({self.nodes[name].table.digest for name in names}) == 1
 
     def stop(self) -> None:
-        """End every node."""
+        """Stop every node."""
         for node in self.nodes.values():
             node.stop()
 
 
-class FakePeers(PeerClient):
-    """Messages of one node, through JSON as on the wire."""
+class InMemoryPeerClient(PeerClient):
+    """Peer client of one node; messages pass through JSON as on the wire."""
 
-    def __init__(self, world: World, name: str) -> None:
-        self._world = world
+    def __init__(self, network: PeerNetwork, name: str) -> None:
+        self._network = network
         self._name = name
 
-    async def ask(
+    async def send_request(
         self,
         address: str,
         subject: str,
@@ -111,25 +113,29 @@
         timeout_s: float,
         is_fresh: bool = False,
     ) -> Any:
-        """Deliver a message unless the two are apart."""
+        """Deliver a message, or time out if the receiver is unreachable."""
         payload = encode_json(document)
-        self._world.bytes_sent[self._name] += len(payload)
+        self._network.bytes_sent[self._name] += len(payload)
         await asyncio.sleep(0.002)
-        if not self._world.can_talk(self._name, address):
+        if not self._network.can_reach(self._name, address):
             await asyncio.sleep(timeout_s)
             return TransportFailure(FailureStage.ANSWER, 'timeout')
-        node = self._world.nodes[address]
+        node = self._network.nodes[address]
         answer = encode_json(node.handle(subject, decode_json(payload)))
-        self._world.bytes_sent[address] += len(answer)
+        self._network.bytes_sent[address] += len(answer)
         await asyncio.sleep(0.002)
         return decode_json(answer)
 
 
 class PeerNode:
-    """The part of a node that keeps membership."""
+    """A node reduced to its membership, configuration and quarantine."""
 
     def __init__(
-        self, world: World, name: str, data_centre: str, incarnation: int
+        self,
+        network: PeerNetwork,
+        name: str,
+        data_centre: str,
+        incarnation: int,
     ) -> None:
         clock = asyncio.get_running_loop().time
         self.table = MemberTable(clock)
@@ -147,20 +153,20 @@
         )
         self.membership = Membership(
             own,
-            Knowledge(self.table, self.holder, self.quarantine),
+            MembershipState(self.table, self.holder, self.quarantine),
             clock,
             clock,
         )
         self.heartbeats = Heartbeats(
             self.membership,
-            FakePeers(world, name),
+            InMemoryPeerClient(network, name),
             clock,
             random.Random(name),
         )
         self._tasks: list[asyncio.Task[Any]] = []
 
     def start(self, contacts: Iterable[str]) -> None:
-        """Join and keep in touch."""
+        """Join through the contacts and exchange heartbeats."""
 
         async def run() -> None:
             for contact in contacts:
@@ -170,12 +176,12 @@
         self._tasks.append(asyncio.create_task(run()))
 
     def stop(self) -> None:
-        """End at once."""
+        """Stop without a notice to other nodes."""
         for task in self._tasks:
             task.cancel()
 
     def handle(self, subject: str, document: Any) -> object:
-        """Answer a message."""
+        """Handle a message and return the answer."""
         if subject == 'gossip':
             answer = self.heartbeats.handle_gossip(document)
             assert not isinstance(answer, DecodeFailure)
@@ -188,9 +194,10 @@
         return self.heartbeats.handle_comparison(document)
 
 
-async def start_world(size: int = 8) -> World:
-    world = World()
+async def start_network(size: int = 8) -> PeerNetwork:
+    """Start nodes in two data centres and wait until they have joined."""
+    network = PeerNetwork()
     for number in range(size):
-        world.add(f'n{number}', 'ab'[number % 2])
+        network.add(f'n{number}', 'ab'[number % 2])
     await asyncio.sleep(5)
-    return world
+    return network
--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -6,7 +6,7 @@
 from merlintrail.coordination import (
     HttpPeerClient,
     Membership,
-    SlotParts,
+    SlotDependencies,
     create_ledger,
 )
 from merlintrail.node._backend_exchange import (
@@ -81,7 +81,7 @@
     suspicions = SuspectQuarantine(
         dependencies.quarantine,
         environment.wall_clock,
-        dependencies.membership.tell_suspicions,
+        dependencies.membership.gossip_suspicions,
         f'{settings.instance}/{dependencies.incarnation}',
     )
     contexts = ContextTable(environment.dialect, environment.rng)
@@ -199,7 +199,7 @@
             environment.rng,
         )
     )
-    slot_dependencies = SlotParts(
+    slot_dependencies = SlotDependencies(
         environment.store,
         instance,
         environment.wall_clock,
--- a/merlintrail/node/_joiner.py
+++ b/merlintrail/node/_joiner.py
@@ -64,7 +64,7 @@
     async def _try_fetch(self) -> bool:
         holder = self._deps.membership.holder
         if holder.current is None:
-            await self._deps.relay.fetch()
+            await self._deps.relay.fetch_configuration()
         return holder.current is not None
 
     async def _try_join(self) -> bool:
--- a/merlintrail/node/_keyed.py
+++ b/merlintrail/node/_keyed.py
@@ -166,7 +166,7 @@
         member = self._deps.table.find(record.owner)
         if member is None or member.has_departed:
             return None
-        answer = await self._deps.peers.ask(
+        answer = await self._deps.peers.send_request(
             member.peer_address,
             'recall',
             {'key': record.key},
--- a/merlintrail/node/_lifecycle.py
+++ b/merlintrail/node/_lifecycle.py
@@ -148,7 +148,7 @@
         self._deps.membership.update_own(status=MemberStatus.LEFT)
         try:
             async with asyncio.timeout(DEPARTURE_NOTICE_TIMEOUT_S):
-                await self._deps.heartbeats.tell_now()
+                await self._deps.heartbeats.flush_outboxes()
         except TimeoutError:
             log_decision(
                 'drain',
