--- a/merlintrail/bench/_outcomes.py
+++ b/merlintrail/bench/_outcomes.py
@@ -67,7 +67,7 @@
     print_figure(
         Figure(
             f'ledger.whole_share_at_{rate}',
-            keyed.whole / len(keyed.samples),
+            keyed.success_count / len(keyed.samples),
             'ratio',
             1,
         )
@@ -98,7 +98,7 @@
     print_figure(
         Figure(
             'drain.cut_requests',
-            len(result.samples) - result.whole,
+            len(result.samples) - result.success_count,
             'requests',
             0,
         )
@@ -168,7 +168,7 @@
         result, are_ended = uvloop.run(_stop_under_load(deployment, 14))
     finally:
         deployment.stop()
-    cut = len(result.samples) - result.whole
+    cut = len(result.samples) - result.success_count
     print_figure(Figure('planned_stop.cut_requests', cut, 'requests', 0))
     print_figure(
         Figure('planned_stop.ended_in_time', float(are_ended), 'ratio', 1)
@@ -204,7 +204,7 @@
             if sample.sent_at >= BEFORE_S
         ]
         prefix = f'silent_connections.{direction}'
-        lost = len(result.samples) - result.whole
+        lost = len(result.samples) - result.success_count
         print_figure(Figure(f'{prefix}_longest_s', max(slow), 's', 1))
         print_figure(Figure(f'{prefix}_lost', lost, 'requests', 0))
 
--- a/merlintrail/bench/_overload.py
+++ b/merlintrail/bench/_overload.py
@@ -145,17 +145,19 @@
             part = chosen.between(second, second + 1)
             sys.stderr.write(
                 f'{kind.name} {second} sent {len(part.samples)} '
-                f'whole {part.whole} {dict(part.count_reasons())}\n'
+                f'whole {part.success_count} {dict(part.count_reasons())}\n'
             )
 
 
 def _find_recovery(result: LoadResult) -> float:
     """Return the seconds after the trigger until goodput is back."""
-    calm = result.between(1.0, CALM_S).whole / (CALM_S - 1.0)
+    calm = result.between(1.0, CALM_S).success_count / (CALM_S - 1.0)
     end = CALM_S + TRIGGER_S
     steps = int(AFTER_S / STEP_S)
     goodputs = [
-        result.between(end + step * STEP_S, end + (step + 1) * STEP_S).whole
+        result.between(
+            end + step * STEP_S, end + (step + 1) * STEP_S
+        ).success_count
         / STEP_S
         for step in range(steps)
     ]
@@ -190,7 +192,7 @@
     end_s = CALM_S + TRIGGER_S - 0.5
     during = result.between(start_s, end_s)
     possible = min(capacity * (end_s - start_s), len(during.samples))
-    return during.whole / possible
+    return during.success_count / possible
 
 
 def _compute_top_ratio(
@@ -201,7 +203,7 @@
         kind.name for kind in world.kinds if kind.importance == 'critical'
     )
     during = result.between(CALM_S, CALM_S + TRIGGER_S).select(top)
-    return during.whole / min(len(during.samples), capacity * TRIGGER_S)
+    return during.success_count / min(len(during.samples), capacity * TRIGGER_S)
 
 
 def _count_useful(world: World, result: LoadResult) -> int:
@@ -214,7 +216,7 @@
         )
 
     return sum(
-        result.select(kind.name).whole * count_calls(kind.service)
+        result.select(kind.name).success_count * count_calls(kind.service)
         for kind in world.kinds
     )
 
--- a/merlintrail/cli/_load_command.py
+++ b/merlintrail/cli/_load_command.py
@@ -41,4 +41,4 @@
     generator = LoadGenerator([address], random.Random(_SEED.value))
     result = asyncio.run(generator.run([kind], _DURATION.value))
     sys.stdout.write(f'{json.dumps(result.summarise())}\n')
-    return ExitCode.OK if result.whole else ExitCode.FAILED
+    return ExitCode.OK if result.success_count else ExitCode.FAILED
--- a/merlintrail/lab/deployment.py
+++ b/merlintrail/lab/deployment.py
@@ -38,7 +38,7 @@
     """Tell whether every request was answered or honestly refused."""
     honest = {'completed', 'not-run', 'may-have-run'}
     return all(
-        sample.is_whole or (sample.outcome in honest and sample.reason)
+        sample.is_success or (sample.outcome in honest and sample.reason)
         for sample in result.samples
     )
 
--- a/merlintrail/load/_generator.py
+++ b/merlintrail/load/_generator.py
@@ -53,7 +53,7 @@
     #: Seconds since the start of the load at which it was sent.
     sent_at: float
     latency_s: float
-    is_whole: bool
+    is_success: bool
     #: Outcome or failure that the client saw.
     outcome: str
     reason: str
@@ -83,23 +83,23 @@
         )
 
     @property
-    def whole(self) -> int:
+    def success_count(self) -> int:
         """Requests with a whole answer."""
-        return sum(1 for sample in self.samples if sample.is_whole)
+        return sum(1 for sample in self.samples if sample.is_success)
 
     def count_reasons(self) -> Counter[str]:
         """Count what was not answered, by reason."""
         return Counter(
             sample.reason or sample.outcome
             for sample in self.samples
-            if not sample.is_whole
+            if not sample.is_success
         )
 
     def summarise(self) -> dict[str, object]:
         """Build a summary that can be printed as JSON."""
         return {
             'requests': len(self.samples),
-            'whole_answers': self.whole,
+            'whole_answers': self.success_count,
             'refusals': dict(self.count_reasons()),
             'p50_ms': round(self.compute_quantile_ms(0.5), 2),
             'p99_ms': round(self.compute_quantile_ms(0.99), 2),
@@ -108,7 +108,7 @@
     def compute_quantile_ms(self, quantile: float) -> float:
         """Return a quantile of the latency of whole answers."""
         latencies = sorted(
-            sample.latency_s for sample in self.samples if sample.is_whole
+            sample.latency_s for sample in self.samples if sample.is_success
         )
         if not latencies:
             return 0.0
@@ -180,8 +180,8 @@
                 body,
                 timeout_s=kind.deadline_ms / _MS_PER_S + CLIENT_PATIENCE_S,
             )
-            is_whole = _is_whole(answer, body, is_echoed=kind.is_echoed)
-            if is_whole or sends > kind.client_retries:
+            is_success = _is_whole(answer, body, is_echoed=kind.is_echoed)
+            if is_success or sends > kind.client_retries:
                 break
         outcome, reason = _describe(answer)
         self._samples.append(
@@ -189,7 +189,7 @@
                 kind.name,
                 sent_at - self._started_at,
                 time.monotonic() - sent_at,
-                is_whole,
+                is_success,
                 outcome,
                 reason,
                 sends,
--- a/merlintrail/node/_gauges.py
+++ b/merlintrail/node/_gauges.py
@@ -60,13 +60,13 @@
     gatekeeper: Gatekeeper,
 ) -> None:
     """Register every gauge of a node."""
-    metrics.observe_gauge(
+    metrics.register_gauge(
         'merlintrail.generation',
         '1',
         'Generation of the configuration in force.',
         lambda: [GaugePoint(holder.generation)],
     )
-    metrics.observe_gauge(
+    metrics.register_gauge(
         'merlintrail.members',
         '{node}',
         'Nodes known, gone ones included.',
@@ -79,7 +79,7 @@
 def _register_gate_gauge(
     metrics: NodeMetrics, gatekeeper: Gatekeeper, gauge: _GateGauge
 ) -> None:
-    metrics.observe_gauge(
+    metrics.register_gauge(
         gauge.name,
         gauge.unit,
         gauge.description,
--- a/merlintrail/node/tests/session.py
+++ b/merlintrail/node/tests/session.py
@@ -12,7 +12,7 @@
 from merlintrail.node import Environment, Node, Settings, create_node
 from merlintrail.node._backend import Announcement
 from merlintrail.node.tests.fake_network import FakeNetwork, FakePool
-from merlintrail.observability import JsonLinesHandler, do_deferred
+from merlintrail.observability import JsonLinesHandler, run_deferred
 from merlintrail.protocol import CONTEXT_HEADER, Dialect, OwnDialect
 from merlintrail.state import Envelope
 from merlintrail.transport import HttpRequest, HttpResponse
@@ -189,7 +189,7 @@
         return f'{self._loop.time() - self._started_at:.3f}'
 
     def _record_log(self) -> None:
-        do_deferred()
+        run_deferred()
         for line in self._log.getvalue().splitlines():
             document = json.loads(line)
             del document['time']
--- a/merlintrail/observability/__init__.py
+++ b/merlintrail/observability/__init__.py
@@ -1,6 +1,6 @@
 """Logs and metrics."""
 
-from merlintrail.observability._deferred import defer, do_deferred
+from merlintrail.observability._deferred import defer, run_deferred
 from merlintrail.observability._logs import (
     JsonLinesHandler,
     create_logger,
@@ -20,7 +20,7 @@
     'create_logger',
     'create_metrics',
     'defer',
-    'do_deferred',
     'log_decision',
     'open_log',
+    'run_deferred',
 )
--- a/merlintrail/observability/_deferred.py
+++ b/merlintrail/observability/_deferred.py
@@ -39,12 +39,12 @@
     try:
         _GATHERING.loop = asyncio.get_running_loop()
     except RuntimeError:
-        do_deferred()
+        run_deferred()
         return
-    _GATHERING.loop.call_later(GATHER_S, do_deferred)
+    _GATHERING.loop.call_later(GATHER_S, run_deferred)
 
 
-def do_deferred() -> None:
+def run_deferred() -> None:
     """Do what waits now."""
     _GATHERING.loop = None
     waiting = _GATHERING.waiting
--- a/merlintrail/observability/_metrics.py
+++ b/merlintrail/observability/_metrics.py
@@ -122,7 +122,7 @@
         """
         self._refusals[RefusalLabels(service, reason)] += 1
 
-    def observe_gauge(
+    def register_gauge(
         self, name: str, unit: str, description: str, read: GaugeReader
     ) -> None:
         """Register a gauge that is read at each collection."""
--- a/merlintrail/observability/tests/test_logs_and_metrics.py
+++ b/merlintrail/observability/tests/test_logs_and_metrics.py
@@ -14,8 +14,8 @@
     JsonLinesHandler,
     create_logger,
     create_metrics,
-    do_deferred,
     log_decision,
+    run_deferred,
 )
 from merlintrail.observability._writer import MAX_LINES_PER_S, LineWriter
 from merlintrail.transport import HttpRequest, HttpResponse, start_server
@@ -31,7 +31,7 @@
             log_decision('route', instance='a\n"b"', load=0.5)
             create_logger('x').debug('not shown')
             create_logger('x').error('bad', extra={'reason': object})
-        do_deferred()
+        run_deferred()
         lines = [json.loads(line) for line in stream.getvalue().splitlines()]
         self.assertEqual([line['event'] for line in lines], ['route', 'bad'])
         self.assertEqual(lines[0]['instance'], 'a\n"b"')
@@ -121,7 +121,7 @@
     def test_read_as_json(self) -> None:
         """Histogram, counters and gauges with their attributes."""
         metrics = create_metrics('one')
-        metrics.observe_gauge(
+        metrics.register_gauge(
             'merlintrail.limit', '1', '', lambda: [GaugePoint(7, 'svc')]
         )
         metrics.record_request('svc', 200, 0.01)
@@ -137,7 +137,7 @@
     def test_read_as_text(self) -> None:
         """The same in the text format of Prometheus, with its units."""
         metrics = create_metrics('one')
-        metrics.observe_gauge(
+        metrics.register_gauge(
             'merlintrail.limit', '1', '', lambda: [GaugePoint(7, 'svc')]
         )
         metrics.record_request('svc', 200, 0.01)
