--- a/merlintrail/observability/__init__.py
+++ b/merlintrail/observability/__init__.py
@@ -1,4 +1,4 @@
-"""Logs and metrics."""
+"""Structured logs and OpenTelemetry metrics of a node."""
 
 from merlintrail.observability._deferred import defer, run_deferred
 from merlintrail.observability._logs import (
--- a/merlintrail/observability/_deferred.py
+++ b/merlintrail/observability/_deferred.py
@@ -1,53 +1,55 @@
-"""Work that is done after what the current task is about to send."""
+"""Calls that are deferred, so that they do not delay a request."""
 
 import asyncio
 from collections import deque
 from collections.abc import Callable
 from typing import Any, Final, NamedTuple
 
-#: Seconds for which work is gathered, so that a busy event loop does it in
-#: few turns.
-GATHER_S: Final = 0.02
+#: Seconds between the first deferred call and the run of all that are queued
+#: by then. Batching them costs a busy event loop fewer iterations.
+DEFER_DELAY_S: Final = 0.02
 
 
-class _Work(NamedTuple):
-    """One piece of work."""
+class _DeferredCall(NamedTuple):
+    """A function and the arguments to call it with."""
 
-    run: Callable[..., None]
+    function: Callable[..., None]
     arguments: tuple[Any, ...]
 
 
-class _Gathering:
-    """Work that waits, and the event loop that is going to do it."""
+class _DeferredQueue:
+    """Queued calls and the event loop that is scheduled to run them."""
 
     def __init__(self) -> None:
-        self.waiting: deque[_Work] = deque()
+        self.calls: deque[_DeferredCall] = deque()
+        #: ``None`` while no run is scheduled.
         self.loop: asyncio.AbstractEventLoop | None = None
 
 
-_GATHERING: Final = _Gathering()
+_QUEUE: Final = _DeferredQueue()
 
 
-def defer(work: Callable[..., None], *arguments: Any) -> None:
-    """Do work within :data:`GATHER_S`, in order.
+def defer(function: Callable[..., None], *arguments: Any) -> None:
+    """Queue a call that the event loop makes within :data:`DEFER_DELAY_S`.
 
-    Without a running loop it is done at once.
+    Calls are made in the order in which they were queued. They are made at
+    once if no run is scheduled and no event loop is running.
     """
-    _GATHERING.waiting.append(_Work(work, arguments))
-    if _GATHERING.loop is not None and not _GATHERING.loop.is_closed():
+    _QUEUE.calls.append(_DeferredCall(function, arguments))
+    if _QUEUE.loop is not None and not _QUEUE.loop.is_closed():
         return
     try:
-        _GATHERING.loop = asyncio.get_running_loop()
+        _QUEUE.loop = asyncio.get_running_loop()
     except RuntimeError:
         run_deferred()
         return
-    _GATHERING.loop.call_later(GATHER_S, run_deferred)
+    _QUEUE.loop.call_later(DEFER_DELAY_S, run_deferred)
 
 
 def run_deferred() -> None:
-    """Do what waits now."""
-    _GATHERING.loop = None
-    waiting = _GATHERING.waiting
-    while waiting:
-        work = waiting.popleft()
-        work.run(*work.arguments)
+    """Make all queued calls now."""
+    _QUEUE.loop = None
+    calls = _QUEUE.calls
+    while calls:
+        call = calls.popleft()
+        call.function(*call.arguments)
--- a/merlintrail/observability/_logs.py
+++ b/merlintrail/observability/_logs.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON, one object a line."""
+"""Structured logs: one JSON object per line."""
 
 import sys
 import time
@@ -15,22 +15,25 @@
 
 
 class JsonLinesHandler(logbook.Handler):  # type: ignore[misc]
-    """Writes each record as one JSON object."""
+    """Logbook handler that writes each record as one JSON object."""
 
     def __init__(
         self, stream: TextIO, level: str = 'INFO', node: str | None = None
     ) -> None:
         super().__init__(level=logbook.lookup_level(level), bubble=False)
-        #: Members of each line that say which node wrote it.
-        self._origin = {} if node is None else {'node': node}
-        self._writer = LineWriter(stream, origin=self._origin)
+        #: Fields added to each line to identify the node that wrote it.
+        self._origin_fields = {} if node is None else {'node': node}
+        self._writer = LineWriter(stream, origin_fields=self._origin_fields)
 
     def emit(self, record: Any) -> None:
-        """Write one record; a failure of this process is flushed at once."""
+        """Write one record, exempt from the rate limit.
+
+        Records of level ERROR and above are flushed at once.
+        """
         line = orjson.dumps(
             {
                 'time': record.time.isoformat(timespec='milliseconds'),
-                **self._origin,
+                **self._origin_fields,
                 'level': record.level_name.lower(),
                 'channel': record.channel,
                 'event': record.msg,
@@ -38,23 +41,23 @@
             },
             default=str,
         )
-        is_failure = record.level >= logbook.ERROR
-        self._writer.write(line, is_urgent=True)
-        if is_failure:
+        is_error = record.level >= logbook.ERROR
+        self._writer.write(line, is_rate_exempt=True)
+        if is_error:
             self.flush()
 
     def write_decision(
         self, decided_at: float, event: str, fields: Mapping[str, object]
     ) -> None:
-        """Write a decision, within the bound on lines a second.
+        """Write a decision; it is dropped beyond the rate limit.
 
         :param decided_at: Unix time of the decision in seconds.
         """
-        moment = datetime.fromtimestamp(decided_at, UTC).replace(tzinfo=None)
+        timestamp = datetime.fromtimestamp(decided_at, UTC).replace(tzinfo=None)
         line = orjson.dumps(
             {
-                'time': moment.isoformat(timespec='milliseconds'),
-                **self._origin,
+                'time': timestamp.isoformat(timespec='milliseconds'),
+                **self._origin_fields,
                 'level': 'info',
                 'channel': 'decision',
                 'event': event,
@@ -65,18 +68,19 @@
         self._writer.write(line)
 
     def flush(self) -> None:
-        """Write what is gathered."""
+        """Write the buffered lines, as far as the stream accepts them."""
         self._writer.flush()
 
 
-class _Decisions:
-    """Where decisions are written: one log of the process, or by logbook."""
+class _DecisionLog:
+    """Holds the log of this process that decisions are written to."""
 
     def __init__(self) -> None:
+        #: ``None`` sends decisions through logbook.
         self.log: JsonLinesHandler | None = None
 
 
-_DECISIONS: Final = _Decisions()
+_DECISION_LOG: Final = _DecisionLog()
 
 
 def open_log(
@@ -84,11 +88,12 @@
 ) -> JsonLinesHandler:
     """Open the log of this process.
 
-    Decisions are many: they go to the log directly, without a record of
-    logbook for each.
+    At level INFO or lower, decisions are written to the returned handler
+    directly: they are so frequent that a logbook record for each is too
+    expensive.
 
-    :param path: a file to append to, or ``None`` for standard output.
-    :param node: name of the instance, told in each line.
+    :param path: file to append to, or ``None`` for standard output.
+    :param node: name of the instance, written in each line.
     :raises OSError: when the file cannot be opened.
     """
     stream = sys.stdout
@@ -96,12 +101,12 @@
         stream = Path(path).open('a', encoding='utf-8')
     log = JsonLinesHandler(stream, level, node)
     if logbook.lookup_level(level) <= logbook.INFO:
-        _DECISIONS.log = log
+        _DECISION_LOG.log = log
     return log
 
 
 def create_logger(channel: str) -> Any:
-    """Create the logger of one part of the program."""
+    """Create the logger of one component, named in the ``channel`` field."""
     return logbook.Logger(channel)
 
 
@@ -111,19 +116,20 @@
 def log_decision(event: str, **fields: object) -> None:
     """Log a routing, placement, admission or refusal decision.
 
-    The line is written after what the current task sends next, so that it
-    does not delay a call. Fields that are ``None`` are left out.
+    The line is formatted and written later, so that logging does not delay
+    the call; its time is that of this function call. Fields that are
+    ``None`` are omitted.
     """
-    known = {
-        name: member for name, member in fields.items() if member is not None
+    present = {
+        name: field for name, field in fields.items() if field is not None
     }
-    defer(_write_decision, time.time(), event, known)
+    defer(_write_decision, time.time(), event, present)
 
 
 def _write_decision(
     decided_at: float, event: str, fields: Mapping[str, object]
 ) -> None:
-    if _DECISIONS.log is None:
+    if _DECISION_LOG.log is None:
         _LOGGER.info(event, extra=fields)
         return
-    _DECISIONS.log.write_decision(decided_at, event, fields)
+    _DECISION_LOG.log.write_decision(decided_at, event, fields)
--- a/merlintrail/observability/_metrics.py
+++ b/merlintrail/observability/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by OpenTelemetry, with the names of its semantic conventions."""
+"""OpenTelemetry metrics, named by its semantic conventions."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
@@ -18,15 +18,15 @@
 
 from merlintrail.observability._deferred import defer
 
-#: Milliseconds between exports to a collector.
+#: Milliseconds between exports to an OTLP collector.
 EXPORT_INTERVAL_MS: Final = 10000
 
 
 class GaugePoint(NamedTuple):
-    """One point of a gauge."""
+    """One measurement of a gauge."""
 
     number: float
-    #: Service that it belongs to, ``None`` for the whole node.
+    #: Service that was measured, ``None`` for the whole node.
     service: str | None = None
 
 
@@ -34,7 +34,7 @@
 
 
 class CallLabels(NamedTuple):
-    """What calls are counted by."""
+    """Labels of the counter of calls."""
 
     service: str
     outcome: str
@@ -42,20 +42,20 @@
 
 
 class RetryLabels(NamedTuple):
-    """What retries are counted by."""
+    """Labels of the counter of retries."""
 
     service: str
 
 
 class RefusalLabels(NamedTuple):
-    """What refusals are counted by."""
+    """Labels of the counter of refusals."""
 
     service: str
     reason: str
 
 
 class NodeMetrics:
-    """The instruments of a node."""
+    """The metric instruments of a node and the readers that collect them."""
 
     def __init__(
         self,
@@ -97,7 +97,7 @@
     def record_request(
         self, service: str, status: int, duration_s: float
     ) -> None:
-        """Record an answered request."""
+        """Record the duration and status of an answered request."""
         defer(
             self._duration.record,
             duration_s,
@@ -108,24 +108,24 @@
         )
 
     def record_call(self, service: str, outcome: str, reason: str) -> None:
-        """Record what became of a call at its backend server."""
+        """Count a call by its outcome at the backend server."""
         self._calls[CallLabels(service, outcome, reason)] += 1
 
     def record_retry(self, service: str) -> None:
-        """Record a further attempt."""
+        """Count an attempt beyond the first of a call."""
         self._retries[RetryLabels(service)] += 1
 
     def record_refusal(self, service: str, reason: str) -> None:
-        """Record a call that was refused before it was sent.
+        """Count a call that was refused before it was sent to a node.
 
-        :param service: empty where the call was not routed.
+        :param service: empty when the call was not routed.
         """
         self._refusals[RefusalLabels(service, reason)] += 1
 
     def register_gauge(
         self, name: str, unit: str, description: str, read: GaugeReader
     ) -> None:
-        """Register a gauge that is read at each collection."""
+        """Register a gauge that calls ``read`` at each collection."""
 
         def collect(_: CallbackOptions) -> Iterable[Observation]:
             for point in read():
@@ -139,7 +139,7 @@
         )
 
     def read_all(self) -> Mapping[str, Any]:
-        """Return every metric in the JSON form of OpenTelemetry."""
+        """Return all metrics in OpenTelemetry's JSON representation."""
         collected = self._reader.get_metrics_data()
         if collected is None:
             return {}
@@ -147,16 +147,16 @@
         return document
 
     def render_text(self) -> bytes:
-        """Return every metric in the text format of Prometheus."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def shut_down(self) -> None:
-        """Export what is left."""
+        """Export pending measurements and stop collecting."""
         self._provider.shutdown()
 
 
 def _observe(counts: Mapping[Any, int]) -> Iterable[Observation]:
-    """Observe counts by labels, of which each member is an attribute."""
+    """Yield an observation per label set, with its fields as attributes."""
     for labels, count in tuple(counts.items()):
         attributes = {
             f'merlintrail.{name}': text
@@ -170,7 +170,9 @@
 ) -> NodeMetrics:
     """Create the metrics of a node.
 
-    :param otlp_endpoint: URL of a collector's OTLP/HTTP metrics endpoint.
+    :param instance: name of the node, exported as ``service.instance.id``.
+    :param otlp_endpoint: URL of a collector's OTLP/HTTP metrics endpoint, or
+        ``None`` to export nothing.
     """
     memory_reader = InMemoryMetricReader()
     registry = CollectorRegistry()
@@ -188,7 +190,11 @@
 
 
 def _create_export_reader(endpoint: str) -> MetricReader:
-    """Load the exporter only where one is configured: it costs memory."""
+    """Create the reader that exports to a collector.
+
+    The exporter is imported only when an endpoint is configured, because
+    the import costs memory.
+    """
     from opentelemetry.exporter.otlp.proto.http.metric_exporter import (
         OTLPMetricExporter,
     )
--- a/merlintrail/observability/_writer.py
+++ b/merlintrail/observability/_writer.py
@@ -1,4 +1,4 @@
-"""Writing log lines in bounded number, never waiting for the reader."""
+"""Rate-limited log output that does not wait for a slow reader."""
 
 import os
 import stat
@@ -9,99 +9,107 @@
 
 import orjson
 
-#: Lines a second that are written; what is beyond is counted.
+#: Rate-limited lines written per second; further ones are dropped and counted.
 MAX_LINES_PER_S: Final = 2000
-#: Bytes that wait for a slow reader; what is beyond is counted.
-MAX_WAITING_BYTES: Final = 1048576
-#: Bytes that are gathered before they are written.
-BUFFER_BYTES: Final = 65536
+#: Bytes buffered for a slow reader; further lines are dropped and counted.
+MAX_PENDING_BYTES: Final = 1048576
+#: Buffered bytes at which the buffer is written out.
+FLUSH_THRESHOLD_BYTES: Final = 65536
 
 
 class LineWriter:
-    """Writes lines to a stream without ever blocking on it.
+    """Buffers log lines and writes them without blocking on a full pipe.
 
-    A full pipe keeps lines waiting up to a bound. Lines that are left out,
-    there or beyond the rate, are counted and told once the reader is back.
+    Lines for a full pipe are buffered up to :data:`MAX_PENDING_BYTES`. Lines
+    beyond that or beyond the rate limit are dropped and counted. The count is
+    written in a ``lines left out`` line by the next flush that finds fewer
+    than :data:`FLUSH_THRESHOLD_BYTES` buffered.
     """
 
     def __init__(
         self,
         stream: TextIO,
         clock: Callable[[], float] = time.monotonic,
-        origin: Mapping[str, str] | None = None,
+        origin_fields: Mapping[str, str] | None = None,
     ) -> None:
         self._stream = stream
         self._clock = clock
-        #: Members that say who writes, for lines of the writer's own.
-        self._origin = origin or {}
-        self._lines: list[bytes] = []
-        self._waiting_bytes = 0
-        self._second = 0
-        self._lines_in_second = 0
-        #: Lines that were left out and not told yet.
-        self.left_out = 0
-        self._descriptor = _open_for_writing(stream)
-
-    def write(self, line: bytes, *, is_urgent: bool = False) -> None:
-        """Take one line, without its end.
-
-        :param is_urgent: whether the line counts beyond the rate too.
+        #: Fields that identify the node in lines that the writer adds itself.
+        self._origin_fields = origin_fields or {}
+        self._pending_lines: list[bytes] = []
+        self._pending_bytes = 0
+        self._current_second = 0
+        self._lines_this_second = 0
+        #: Lines dropped since the last ``lines left out`` line.
+        self.dropped_lines = 0
+        self._descriptor = _prepare_descriptor(stream)
+
+    def write(self, line: bytes, *, is_rate_exempt: bool = False) -> None:
+        """Buffer one line, given without its line end.
+
+        :param is_rate_exempt: whether the rate limit does not apply; the limit
+            on buffered bytes always does.
         """
-        if not (is_urgent or self._is_within_rate()):
-            self.left_out += 1
+        if not (is_rate_exempt or self._count_against_rate()):
+            self.dropped_lines += 1
             return
-        if self._waiting_bytes + len(line) > MAX_WAITING_BYTES:
-            self.left_out += 1
+        if self._pending_bytes + len(line) > MAX_PENDING_BYTES:
+            self.dropped_lines += 1
             return
-        self._lines.append(line)
-        self._waiting_bytes += len(line) + 1
-        if self._descriptor is None or self._waiting_bytes >= BUFFER_BYTES:
+        self._pending_lines.append(line)
+        self._pending_bytes += len(line) + 1
+        if (
+            self._descriptor is None
+            or self._pending_bytes >= FLUSH_THRESHOLD_BYTES
+        ):
             self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        if self.left_out and self._waiting_bytes < BUFFER_BYTES:
-            self._lines.append(self._build_notice())
-            self.left_out = 0
-        if not self._lines:
+        """Write as much of the buffer as the stream accepts now."""
+        if self.dropped_lines and self._pending_bytes < FLUSH_THRESHOLD_BYTES:
+            self._pending_lines.append(self._build_drop_notice())
+            self.dropped_lines = 0
+        if not self._pending_lines:
             return
-        payload = b'\n'.join((*self._lines, b''))
+        payload = b'\n'.join((*self._pending_lines, b''))
         if self._descriptor is None:
             self._stream.write(payload.decode())
             self._stream.flush()
             written = len(payload)
         else:
-            written = _write_some(self._descriptor, payload)
+            written = _write_available(self._descriptor, payload)
         rest = payload[written:]
-        self._lines = [rest.removesuffix(b'\n')] if rest else []
-        self._waiting_bytes = len(rest)
+        self._pending_lines = [rest.removesuffix(b'\n')] if rest else []
+        self._pending_bytes = len(rest)
 
-    def _build_notice(self) -> bytes:
+    def _build_drop_notice(self) -> bytes:
+        """Return the line that reports the number of dropped lines."""
         now = datetime.now(UTC).replace(tzinfo=None)
         return orjson.dumps(
             {
                 'time': now.isoformat(timespec='milliseconds'),
-                **self._origin,
+                **self._origin_fields,
                 'level': 'warning',
                 'channel': 'log',
                 'event': 'lines left out',
-                'lines': self.left_out,
+                'lines': self.dropped_lines,
             }
         )
 
-    def _is_within_rate(self) -> bool:
+    def _count_against_rate(self) -> bool:
+        """Count a line; return whether it is within the rate limit."""
         second = int(self._clock())
-        if second != self._second:
-            self._second = second
-            self._lines_in_second = 0
-        self._lines_in_second += 1
-        return self._lines_in_second <= MAX_LINES_PER_S
+        if second != self._current_second:
+            self._current_second = second
+            self._lines_this_second = 0
+        self._lines_this_second += 1
+        return self._lines_this_second <= MAX_LINES_PER_S
 
 
-def _open_for_writing(stream: TextIO) -> int | None:
-    """Return the descriptor of a stream, made not to block if it is a pipe.
+def _prepare_descriptor(stream: TextIO) -> int | None:
+    """Return the file descriptor of a stream, non-blocking if it is a pipe.
 
-    :returns: ``None`` for a stream in memory.
+    :returns: ``None`` for an in-memory stream.
     """
     try:
         descriptor = stream.fileno()
@@ -112,12 +120,13 @@
     return descriptor
 
 
-def _write_some(descriptor: int, payload: bytes) -> int:
-    """Write as much as the reader takes; return the bytes."""
+def _write_available(descriptor: int, payload: bytes) -> int:
+    """Write what the descriptor accepts and return the number of bytes."""
     try:
         return os.write(descriptor, payload)
     except BlockingIOError:
         return 0
     except OSError:
-        # Nobody reads any more: the lines have no other place to go.
+        # The reading end is closed or the device failed. The lines are
+        # discarded, because there is nowhere else to write them.
         return len(payload)
--- a/merlintrail/observability/tests/test_logs_and_metrics.py
+++ b/merlintrail/observability/tests/test_logs_and_metrics.py
@@ -1,4 +1,4 @@
-"""Log lines are JSON, and metrics reach a collector."""
+"""Tests of JSON log lines and of the export of metrics."""
 
 import asyncio
 import io
@@ -22,10 +22,10 @@
 
 
 class LogTest(unittest.TestCase):
-    """One JSON object a line."""
+    """The handler writes one JSON object per line."""
 
     def test_lines(self) -> None:
-        """Fields, levels, and characters that need escaping."""
+        """Fields are escaped, and records below the level are not written."""
         stream = io.StringIO()
         with JsonLinesHandler(stream).applicationbound():
             log_decision('route', instance='a\n"b"', load=0.5)
@@ -39,7 +39,7 @@
 
 
 class WriterTest(unittest.TestCase):
-    """Log lines never hold up the process."""
+    """The writer drops lines instead of blocking the process."""
 
     def setUp(self) -> None:
         self.now = 10.0
@@ -51,28 +51,28 @@
         self.addCleanup(os.close, self.reader)
 
     def read_lines(self) -> list[str]:
-        """Read what the pipe holds."""
+        """Read the lines that the pipe holds."""
         return os.read(self.reader, 1 << 24).decode().splitlines()
 
     def test_full_pipe(self) -> None:
-        """Nobody reads: nothing waits, and what is left out is told."""
+        """A full pipe does not block, and dropped lines are reported later."""
         line = b'{"event":"' + b'x' * 1000 + b'"}'
         for _ in range(5000):
-            self.writer.write(line, is_urgent=True)
+            self.writer.write(line, is_rate_exempt=True)
         self.writer.flush()
-        self.assertGreater(self.writer.left_out, 3000)
-        left_out = self.writer.left_out
+        self.assertGreater(self.writer.dropped_lines, 3000)
+        dropped_lines = self.writer.dropped_lines
         received: list[str] = []
         while not received or 'lines left out' not in received[-1]:
             received.extend(self.read_lines())
             self.writer.flush()
-        self.assertEqual(json.loads(received[-1])['lines'], left_out)
+        self.assertEqual(json.loads(received[-1])['lines'], dropped_lines)
 
     def test_flood(self) -> None:
-        """A second has a bound on its lines; the next begins anew."""
+        """Lines beyond the rate are dropped until the next second."""
         for _ in range(MAX_LINES_PER_S * 2):
             self.writer.write(b'{}')
-        self.assertEqual(self.writer.left_out, MAX_LINES_PER_S)
+        self.assertEqual(self.writer.dropped_lines, MAX_LINES_PER_S)
         self.writer.flush()
         self.assertEqual(len(self.read_lines()), MAX_LINES_PER_S + 1)
         self.now += 1
@@ -82,7 +82,7 @@
 
 
 class _Collector:
-    """A stand-in for a collector, on a thread of its own."""
+    """An OTLP collector that records requests, on its own thread."""
 
     def __init__(self) -> None:
         self.requests: list[HttpRequest] = []
@@ -93,22 +93,22 @@
 
     def _run(self) -> None:
         server = self._loop.run_until_complete(
-            start_server(self._take, '127.0.0.1', 0)
+            start_server(self._record, '127.0.0.1', 0)
         )
         self.port = server.port
         self._ready.set()
         self._loop.run_forever()
 
-    async def _take(self, request: HttpRequest) -> HttpResponse:
+    async def _record(self, request: HttpRequest) -> HttpResponse:
         self.requests.append(request)
         return HttpResponse(200, (), b'')
 
 
 class MetricsTest(unittest.TestCase):
-    """The instruments of a node."""
+    """Metrics are exported and rendered as JSON and as text."""
 
     def test_export_to_a_collector(self) -> None:
-        """What is left is exported at the end, as protobuf over HTTP."""
+        """Pending measurements are exported as protobuf at shutdown."""
         collector = _Collector()
         metrics = create_metrics(
             'one', f'http://127.0.0.1:{collector.port}/v1/metrics'
@@ -119,7 +119,7 @@
         self.assertIn(b'merlintrail.calls', collector.requests[0].body)
 
     def test_read_as_json(self) -> None:
-        """Histogram, counters and gauges with their attributes."""
+        """Histograms, counters and gauges appear in the JSON document."""
         metrics = create_metrics('one')
         metrics.register_gauge(
             'merlintrail.limit', '1', '', lambda: [GaugePoint(7, 'svc')]
@@ -135,7 +135,7 @@
             self.assertIn(name, text)
 
     def test_read_as_text(self) -> None:
-        """The same in the text format of Prometheus, with its units."""
+        """The Prometheus text has units, labels and values of each metric."""
         metrics = create_metrics('one')
         metrics.register_gauge(
             'merlintrail.limit', '1', '', lambda: [GaugePoint(7, 'svc')]
