--- a/merlintrail/cli/__init__.py
+++ b/merlintrail/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The program ``merlintrail``."""
+"""Command line interface of operators: the program ``merlintrail``."""
 
 from merlintrail.cli._main import run_command
 
--- a/merlintrail/cli/_admin_client.py
+++ b/merlintrail/cli/_admin_client.py
@@ -6,37 +6,42 @@
 
 from merlintrail.protocol import DecodeFailure, decode_json, encode_json
 
-#: Seconds to wait for a node.
-TIMEOUT_S: Final = 15.0
+#: Seconds to wait for each connection attempt and read.
+REQUEST_TIMEOUT_S: Final = 15.0
 
 
 class AdminFailure(NamedTuple):
-    """Sentinel in place of an answer, with the reason."""
+    """Returned in place of a reply when there is none to use."""
 
-    #: HTTP status, 0 when the node was not reached.
+    #: HTTP status, 0 when no HTTP response was received.
     status: int
     reason: str
 
 
 class AdminReply(NamedTuple):
-    """A decoded answer."""
+    """An HTTP response with its decoded JSON body."""
 
     status: int
     document: Any
 
 
 class AdminClient:
-    """Asks one node."""
+    """Sends authenticated requests to the administration API of one node."""
 
     def __init__(self, address: str, key: str) -> None:
         self._address = address
         self._headers = {'Authorization': f'Bearer {key}'}
-        self._http = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
+        self._http = urllib3.PoolManager(
+            retries=False, timeout=REQUEST_TIMEOUT_S
+        )
 
-    def ask(
+    def send_request(
         self, method: str, path: str, document: object = None
     ) -> AdminReply | AdminFailure:
-        """Ask the node; an answer of any status but 401 is a reply."""
+        """Send a request and decode the response.
+
+        Any status but 401 is returned as a reply, if its body is JSON.
+        """
         try:
             answer = self._http.request(
                 method,
--- a/merlintrail/cli/_config_commands.py
+++ b/merlintrail/cli/_config_commands.py
@@ -21,8 +21,8 @@
     parse_document,
 )
 
-#: Seconds between looks at the fleet while waiting.
-WAIT_INTERVAL_S: Final = 0.2
+#: Seconds between polls of the fleet while waiting.
+POLL_INTERVAL_S: Final = 0.2
 _OK: Final = 200
 _CONFLICT: Final = 409
 _UNPROCESSABLE: Final = 422
@@ -47,7 +47,7 @@
 
 
 def check_document(path: str) -> ExitCode:
-    """Check a document without a node."""
+    """Validate a document without contacting a node."""
     parsed = read_document(path)
     _print_findings(path, parsed.findings)
     if parsed.findings:
@@ -56,28 +56,29 @@
     return ExitCode.OK
 
 
-def show_document(client: AdminClient, *, is_whole: bool) -> ExitCode:
-    """Print the document in force in the store.
+def show_document(client: AdminClient, *, with_envelope: bool) -> ExitCode:
+    """Print the document in force, as the store has it.
 
-    :param is_whole: whether to print generation and operator with it.
+    :param with_envelope: whether to print the metadata of the document, such
+        as its generation and operator, as well.
     """
-    reply = client.ask('GET', '/v1/configuration')
+    reply = client.send_request('GET', '/v1/configuration')
     if isinstance(reply, AdminFailure) or reply.status != _OK:
         return report_failure(reply)
     envelope = reply.document
     if not envelope['generation']:
         sys.stderr.write('no document has been applied yet\n')
-    print_json(envelope if is_whole else envelope['document'])
+    print_json(envelope if with_envelope else envelope['document'])
     return ExitCode.OK
 
 
 def show_difference(client: AdminClient, path: str) -> ExitCode:
-    """Print what a document would change."""
+    """Print the differences of a document from the one in force."""
     parsed = read_document(path)
     if parsed.findings:
         _print_findings(path, parsed.findings)
         return ExitCode.INVALID
-    reply = client.ask('GET', '/v1/configuration')
+    reply = client.send_request('GET', '/v1/configuration')
     if isinstance(reply, AdminFailure) or reply.status != _OK:
         return report_failure(reply)
     envelope = reply.document
@@ -92,8 +93,8 @@
 
 
 def show_history(client: AdminClient) -> ExitCode:
-    """Print who applied which generation when."""
-    reply = client.ask('GET', '/v1/configuration/history')
+    """Print generation, time, operator and change of recent documents."""
+    reply = client.send_request('GET', '/v1/configuration/history')
     if isinstance(reply, AdminFailure) or reply.status != _OK:
         return report_failure(reply)
     for envelope in reply.document:
@@ -110,24 +111,25 @@
 
 
 def apply_document(
-    client: AdminClient, path: str, seen: int | None, wait_s: float
+    client: AdminClient, path: str, seen_generation: int | None, wait_s: float
 ) -> ExitCode:
-    """Apply a document by compare-and-swap.
+    """Apply a document if ``seen_generation`` is still in force.
 
-    :param seen: generation that the operator started from, the one in force
-        when not given.
-    :param wait_s: seconds to wait until it is in force on every node.
+    :param seen_generation: generation that the operator started from, or
+        ``None`` for the one in force.
+    :param wait_s: seconds to wait until every node has the document in force,
+        0 not to wait.
     """
     parsed = read_document(path)
     if parsed.findings:
         _print_findings(path, parsed.findings)
         return ExitCode.INVALID
-    if seen is None:
-        current = client.ask('GET', '/v1/configuration')
+    if seen_generation is None:
+        current = client.send_request('GET', '/v1/configuration')
         if isinstance(current, AdminFailure) or current.status != _OK:
             return report_failure(current)
-        seen = int(current.document['generation'])
-    reply = _send_document(client, parsed.document, seen)
+        seen_generation = int(current.document['generation'])
+    reply = _send_document(client, parsed.document, seen_generation)
     if isinstance(reply, AdminFailure):
         return report_failure(reply)
     if reply.status == _CONFLICT:
@@ -144,17 +146,21 @@
 
 
 def _send_document(
-    client: AdminClient, document: Mapping[str, Any], seen: int
+    client: AdminClient, document: Mapping[str, Any], seen_generation: int
 ) -> AdminReply | AdminFailure:
-    """Send a change; a lost answer is settled by sending the same again."""
+    """Send a change, and send it once more if no response arrives.
+
+    Both requests carry the same ``change_id``, so that the change is applied
+    once even if only the first response was lost.
+    """
     change = {
         'document': document,
-        'seen_generation': seen,
+        'seen_generation': seen_generation,
         'change_id': str(uuid.uuid4()),
     }
-    reply = client.ask('POST', '/v1/configuration', change)
+    reply = client.send_request('POST', '/v1/configuration', change)
     if isinstance(reply, AdminFailure) and not reply.status:
-        reply = client.ask('POST', '/v1/configuration', change)
+        reply = client.send_request('POST', '/v1/configuration', change)
     return reply
 
 
@@ -163,7 +169,7 @@
 ) -> ExitCode:
     sys.stderr.write(
         f'{current["operator"]} applied generation {current["generation"]} '
-        'meanwhile; nothing was applied. Your document against it:\n'
+        'meanwhile; nothing was applied. Your document would change:\n'
     )
     for difference in find_differences(current['document'], document):
         sys.stderr.write(f'  {difference}\n')
@@ -173,12 +179,13 @@
 def _wait_for_fleet(
     client: AdminClient, generation: int, wait_s: float
 ) -> ExitCode:
+    """Poll the fleet until every node has the generation in force."""
     if wait_s <= 0:
         return ExitCode.OK
     started_at = time.monotonic()
     lagging: Sequence[str] = ()
     while time.monotonic() - started_at < wait_s:
-        reply = client.ask('GET', '/v1/fleet')
+        reply = client.send_request('GET', '/v1/fleet')
         if isinstance(reply, AdminFailure):
             return report_failure(reply)
         lagging = [
@@ -195,13 +202,13 @@
                 ]
             )
             return ExitCode.OK
-        time.sleep(WAIT_INTERVAL_S)
+        time.sleep(POLL_INTERVAL_S)
     sys.stderr.write(f'not in force yet on: {", ".join(lagging)}\n')
     return ExitCode.NOT_EVERYWHERE
 
 
 def write_example() -> ExitCode:
-    """Print a small valid document to start from."""
+    """Print a minimal valid document."""
     print_json(
         {
             'format': 1,
--- a/merlintrail/cli/_exit_codes.py
+++ b/merlintrail/cli/_exit_codes.py
@@ -1,23 +1,23 @@
-"""Exit codes of the command line."""
+"""Exit statuses of the command line."""
 
 import enum
 
 
 class ExitCode(enum.IntEnum):
-    """What the exit status of ``merlintrail`` tells."""
+    """Exit status of ``merlintrail``."""
 
     OK = 0
-    #: Something else failed.
+    #: The command failed for a reason that has no status of its own.
     FAILED = 1
-    #: The command was not understood.
+    #: The command or its arguments are invalid.
     USAGE = 2
-    #: The document or settings have findings.
+    #: Validation of the document or settings reported findings.
     INVALID = 3
     #: Another operator changed the document first; nothing was applied.
     CONFLICT = 4
-    #: The node or the store was not reached.
+    #: The node or the store could not be reached.
     UNREACHABLE = 5
     #: The operator key is missing or wrong.
     UNAUTHORIZED = 6
-    #: Applied, but not in force everywhere in time.
+    #: The document was applied, but not every node had it in force in time.
     NOT_EVERYWHERE = 7
--- a/merlintrail/cli/_explain.py
+++ b/merlintrail/cli/_explain.py
@@ -1,4 +1,4 @@
-"""The way of one request, from the logs of the nodes that it met."""
+"""Reconstruction of a request's path through the nodes from their logs."""
 
 import sys
 from collections.abc import Iterable, Mapping, Sequence
@@ -11,21 +11,22 @@
 from merlintrail.cli._output import print_lines
 from merlintrail.protocol import Reason
 
-#: Fields that each line shows in a place of its own, or not at all.
-_PLACED: Final = frozenset(
+#: Fields that are not printed as ``name=value``: they have a column of their
+#: own or are omitted.
+_EXCLUDED_FIELDS: Final = frozenset(
     ('time', 'event', 'node', 'level', 'channel', 'request_id')
 )
-#: Events of the node that a call was sent to.
-_ARRIVALS: Final = frozenset(('admit', 'refuse', 'cancel'))
-#: Beginning of each line that a node writes.
-_FIRST_MEMBER: Final = '{"time":'
+#: Events by which a node logs that a call reached it.
+_ARRIVAL_EVENTS: Final = frozenset(('admit', 'refuse', 'cancel'))
+#: First characters of each line that a node writes.
+_LINE_START: Final = '{"time":'
 _STANDARD_INPUT: Final = '-'
-#: What an engineer does with a reason.
+#: Explanation of each reason that is reported as a cause.
 _HINTS: Final[Mapping[str, str]] = {
     Reason.OVERLOAD: 'the backend server had no slot and no room to wait',
-    Reason.SHED_EARLY: 'a service on the way sheds calls of this priority',
-    Reason.DEADLINE: 'too little time was left for such a call',
-    Reason.DEADLINE_PASSED: 'the call was running when its time ended',
+    Reason.SHED_EARLY: 'a service on the path sheds calls of this priority',
+    Reason.DEADLINE: 'too little time was left for the call',
+    Reason.DEADLINE_PASSED: 'the call ran out of time while it was running',
     Reason.DRAINING: 'the node or its backend server was leaving',
     Reason.NO_BACKEND_SERVER: 'no backend server of the service takes calls',
     Reason.NO_CONFIGURATION: 'the node had not read a configuration yet',
@@ -37,45 +38,46 @@
 
 
 class LogLine(NamedTuple):
-    """One line of a node's log."""
+    """A parsed line of a node's log."""
 
     #: Time of the line as the node wrote it, in ISO 8601.
     time: str
-    #: Name of the node, or of the file where the line does not tell.
+    #: Name of the node, or of the log if the line does not name a node.
     node: str
     event: str
-    #: Identifier of the request, empty for what touches none.
+    #: Identifier of the request, empty for events that concern none.
     request_id: str
     fields: Mapping[str, Any]
 
 
-def read_log(lines: Iterable[str], source: str) -> list[LogLine]:
-    """Read the lines of one log; what is no JSON object is passed over.
+def read_log(lines: Iterable[str], log_name: str) -> list[LogLine]:
+    """Parse the lines of one log; lines without a JSON object are skipped.
 
-    Text in front of the object, such as a time and a name that a collector
-    of logs adds, is passed over too, and so is the beginning of a line that
-    the collector cut.
+    Text in front of the object is skipped too: a log collector may add a time
+    and a name, or put the object behind the first part of a truncated line.
+
+    :param log_name: node name for lines that do not contain one.
     """
-    read = []
+    parsed = []
     for line in lines:
         fields = _find_object(line)
         if fields is None:
             continue
-        read.append(
+        parsed.append(
             LogLine(
                 str(fields.get('time', '')),
-                str(fields.get('node', source)),
+                str(fields.get('node', log_name)),
                 str(fields.get('event', '')),
                 str(fields.get('request_id', '')),
                 fields,
             )
         )
-    return read
+    return parsed
 
 
 def _find_object(line: str) -> Mapping[str, Any] | None:
-    """Return the JSON object at the end of a line."""
-    for start in (line.find('{'), line.rfind(_FIRST_MEMBER)):
+    """Return the JSON object that a line ends with."""
+    for start in (line.find('{'), line.rfind(_LINE_START)):
         if start < 0:
             continue
         try:
@@ -88,65 +90,74 @@
 
 
 def select_lines(request_id: str, lines: Sequence[LogLine]) -> list[LogLine]:
-    """Return the lines of a request and of the calls below it, in order."""
+    """Return the lines of a request and its nested calls, in order of time."""
     selected_ids = {request_id}
-    selected_ids.update(_find_below(selected_ids, lines))
+    selected_ids.update(_find_nested_calls(selected_ids, lines))
     selected = [line for line in lines if line.request_id in selected_ids]
     return sorted(selected, key=lambda line: line.time)
 
 
-def _find_below(known: set[str], lines: Sequence[LogLine]) -> set[str]:
-    """Find the calls that name one of the known ones as their parent."""
+def _find_nested_calls(
+    root_ids: set[str], lines: Sequence[LogLine]
+) -> set[str]:
+    """Return the identifiers of all calls nested in one of the roots.
+
+    Calls nested in nested calls are included.
+    """
     parents = {
         line.request_id: str(line.fields['parent_id'])
         for line in lines
         if line.fields.get('parent_id')
     }
-    below: set[str] = set()
+    nested: set[str] = set()
     while True:
-        found = {
+        children = {
             call_id
             for call_id, parent_id in parents.items()
-            if parent_id in known | below and call_id not in below
+            if parent_id in root_ids | nested and call_id not in nested
         }
-        if not found:
-            return below
-        below |= found
+        if not children:
+            return nested
+        nested |= children
 
 
-def describe_lines(lines: Sequence[LogLine]) -> list[str]:
-    """Return a text line for each line of the log."""
+def format_lines(lines: Sequence[LogLine]) -> list[str]:
+    """Return the text to print for each log line."""
     width = max(len(line.node) for line in lines)
     return [
         f'{line.time[11:]}  {line.node:{width}}  {line.event:8}  '
-        f'{line.request_id}  {_describe_fields(line)}'
+        f'{line.request_id}  {_format_fields(line)}'
         for line in lines
     ]
 
 
-def _describe_fields(line: LogLine) -> str:
-    shown = [
-        f'{name}={shown}'
-        for name, shown in line.fields.items()
-        if name not in _PLACED and shown is not None and shown != ''
+def _format_fields(line: LogLine) -> str:
+    pairs = [
+        f'{name}={field}'
+        for name, field in line.fields.items()
+        if name not in _EXCLUDED_FIELDS and field is not None and field != ''
     ]
-    return ' '.join(shown)
+    return ' '.join(pairs)
 
 
 def find_gaps(
     selected: Sequence[LogLine], lines: Sequence[LogLine]
 ) -> list[str]:
-    """Tell which lines of the request ought to be there and are not."""
+    """Return a message for each gap in the logs.
+
+    Gaps are calls that were sent to a node which logged no arrival, and lines
+    that a node dropped, whichever request they belong to.
+    """
     gaps = []
-    arrived = {
+    arrivals = {
         (line.node, line.request_id)
         for line in selected
-        if line.event in _ARRIVALS
+        if line.event in _ARRIVAL_EVENTS
     }
     for line in selected:
         target = str(line.fields.get('instance', ''))
         is_sent = line.event == 'route' and target
-        if is_sent and (target, line.request_id) not in arrived:
+        if is_sent and (target, line.request_id) not in arrivals:
             gaps.append(
                 f'{target} says nothing of {line.request_id}, sent to it at '
                 f'{line.time[11:]}: its log is missing, it was not reached, '
@@ -162,7 +173,7 @@
 
 
 def find_causes(selected: Sequence[LogLine]) -> list[str]:
-    """Tell what the refusals of the request mean, each reason once."""
+    """Return an explanation for each service and reason, without duplicates."""
     causes = []
     for line in selected:
         reason = str(line.fields.get('reason', ''))
@@ -175,10 +186,9 @@
 
 
 def explain_request(request_id: str, paths: Sequence[str]) -> ExitCode:
-    """Print the way of a request.
+    """Print the path of a request through the nodes.
 
-    :param paths: files with the logs of nodes, ``-`` or none for standard
-        input.
+    :param paths: log files of nodes; ``-`` or no path reads standard input.
     :raises OSError: when a file cannot be read.
     """
     lines = [
@@ -194,9 +204,9 @@
         )
         print_lines(find_gaps((), lines))
         return ExitCode.FAILED
-    print_lines(describe_lines(selected))
-    _print_part('cause', find_causes(selected))
-    _print_part('missing', find_gaps(selected, lines))
+    print_lines(format_lines(selected))
+    _print_section('cause', find_causes(selected))
+    _print_section('missing', find_gaps(selected, lines))
     return ExitCode.OK
 
 
@@ -207,5 +217,5 @@
         return read_log(log, Path(path).stem)
 
 
-def _print_part(title: str, texts: Sequence[str]) -> None:
+def _print_section(title: str, texts: Sequence[str]) -> None:
     print_lines(f'{title}: {text}' for text in texts)
--- a/merlintrail/cli/_load_command.py
+++ b/merlintrail/cli/_load_command.py
@@ -1,4 +1,4 @@
-"""``merlintrail load``: send requests and print one line of JSON."""
+"""``merlintrail load``: send requests and print a JSON summary line."""
 
 import asyncio
 import json
@@ -11,8 +11,10 @@
 from merlintrail.cli._exit_codes import ExitCode
 from merlintrail.load import LoadGenerator, LoadKind
 
-_RATE: Final = flags.DEFINE_float('rate', 10.0, 'load: requests a second.')
-_DURATION: Final = flags.DEFINE_float('duration', 5.0, 'load: seconds.')
+_RATE: Final = flags.DEFINE_float('rate', 10.0, 'load: requests per second.')
+_DURATION: Final = flags.DEFINE_float(
+    'duration', 5.0, 'load: duration in seconds.'
+)
 _DEADLINE_MS: Final = flags.DEFINE_float(
     'deadline_ms', 1000.0, 'load: deadline in milliseconds.'
 )
@@ -20,13 +22,15 @@
     'keyed', False, 'load: send an idempotency key with each request.'
 )
 _METHOD: Final = flags.DEFINE_string('method', 'POST', 'load: HTTP method.')
-_SEED: Final = flags.DEFINE_integer('seed', 1, 'load: seed of arrivals.')
+_SEED: Final = flags.DEFINE_integer(
+    'seed', 1, 'load: random seed of arrival times and idempotency keys.'
+)
 
 
 def send_load(address: str, target: str) -> ExitCode:
-    """Send requests to a call address.
+    """Send requests and print a summary of their outcomes.
 
-    :param address: ``host:port`` of a node for callers.
+    :param address: call address of a node, ``host:port``.
     :param target: ``/SERVICE/PATH``.
     """
     kind = LoadKind(
--- a/merlintrail/cli/_main.py
+++ b/merlintrail/cli/_main.py
@@ -1,4 +1,4 @@
-"""The command line: ``merlintrail COMMAND [ARGUMENT ...]``."""
+"""Entry point: ``merlintrail [FLAGS] COMMAND [ARGUMENT ...]``."""
 
 import os
 import sys
@@ -23,19 +23,21 @@
     'node', '127.0.0.1:7302', 'Administration address of a node, host:port.'
 )
 _KEY_FILE: Final = flags.DEFINE_string(
-    'key_file', None, f'File with the operator key; else ${KEY_VARIABLE}.'
+    'key_file', None, f'File with the operator key; ${KEY_VARIABLE} otherwise.'
 )
 _SEEN: Final = flags.DEFINE_integer(
     'seen', None, 'config apply: generation that you started from.'
 )
 _WAIT: Final = flags.DEFINE_bool(
-    'wait', False, 'config apply: wait until in force on every node.'
+    'wait',
+    False,
+    'config apply: wait until the document is in force on every node.',
 )
 _WAIT_S: Final = flags.DEFINE_float(
-    'wait_s', 10.0, 'config apply: longest wait in seconds.'
+    'wait_s', 10.0, 'config apply: maximum wait in seconds.'
 )
 _WHOLE: Final = flags.DEFINE_bool(
-    'whole', False, 'config show: with generation, operator and time.'
+    'whole', False, 'config show: print generation, operator and time as well.'
 )
 _JSON: Final = flags.DEFINE_bool('json', False, 'status: print JSON.')
 
@@ -53,13 +55,14 @@
   routes                  the routes in force at the node
   metrics                 the metrics of the node
   console                 the address of the console
-  explain ID [FILE ...]   the way of a request, from the logs of nodes
+  explain ID [FILE ...]   the path of a request, from the logs of nodes
   load TARGET             send requests to --node's call address (--rate,
                           --duration, --deadline_ms, --keyed)
   help                    this text
 
-FILE may be - for standard input, which explain reads without one. Flags: --node, --key_file; --helpfull
-lists all. The operator key may stand in $MERLINTRAIL_KEY.
+FILE may be - for standard input, which explain reads if not given one.
+Flags: --node, --key_file; --helpfull lists all. The operator key may be given
+in $MERLINTRAIL_KEY.
 
 exit status: 0 done, 1 failed, 2 usage, 3 findings, 4 another operator was
 first, 5 node or store not reached, 6 key missing or wrong, 7 applied but
@@ -68,13 +71,13 @@
 
 
 class Command(NamedTuple):
-    """A subcommand."""
+    """A subcommand: its function and the arguments that it takes."""
 
     run: Callable[[Sequence[str]], ExitCode]
-    #: Number of arguments that it takes.
-    arguments: int = 0
-    #: Whether it takes any number of arguments beyond.
-    takes_more: bool = False
+    #: Number of required arguments.
+    argument_count: int = 0
+    #: Whether any number of further arguments may follow.
+    accepts_more: bool = False
 
 
 def _create_client() -> AdminClient:
@@ -119,7 +122,7 @@
     ),
     'config show': Command(
         lambda _: _config_commands.show_document(
-            _create_client(), is_whole=_WHOLE.value
+            _create_client(), with_envelope=_WHOLE.value
         )
     ),
     'config diff': Command(
@@ -153,31 +156,35 @@
     'explain': Command(
         lambda words: explain_request(words[0], words[1:]),
         1,
-        takes_more=True,
+        accepts_more=True,
     ),
     'help': Command(_show_help),
 }
 
 
 def find_command(words: Sequence[str]) -> tuple[Command, Sequence[str]] | None:
-    """Find the subcommand that the words name, and its arguments."""
+    """Return the subcommand that the words name, and its arguments.
+
+    :returns: ``None`` if no subcommand matches or the number of arguments is
+        wrong.
+    """
     for count in (2, 1):
         command = _COMMANDS.get(' '.join(words[:count]))
         if command is not None and len(words) >= count:
             arguments = words[count:]
-            if _is_fitting(command, len(arguments)):
+            if _accepts_count(command, len(arguments)):
                 return command, arguments
     return None
 
 
-def _is_fitting(command: Command, count: int) -> bool:
-    if command.takes_more:
-        return count >= command.arguments
-    return count == command.arguments
+def _accepts_count(command: Command, count: int) -> bool:
+    if command.accepts_more:
+        return count >= command.argument_count
+    return count == command.argument_count
 
 
 def run_command() -> None:
-    """Run the program; the entry point ``merlintrail``."""
+    """Run the program and exit with the status of its subcommand."""
     if '--help' in sys.argv[1:] or '-h' in sys.argv[1:]:
         sys.stdout.write(USAGE)
         sys.exit(ExitCode.OK)
@@ -185,11 +192,11 @@
 
 
 def _run(words: Sequence[str]) -> int:
-    found = find_command(words[1:])
-    if found is None:
+    match = find_command(words[1:])
+    if match is None:
         sys.stderr.write(USAGE)
         return ExitCode.USAGE
-    command, arguments = found
+    command, arguments = match
     try:
         return command.run(arguments)
     except OSError as error:
--- a/merlintrail/cli/_output.py
+++ b/merlintrail/cli/_output.py
@@ -1,4 +1,4 @@
-"""What the command line prints."""
+"""Output of the command line."""
 
 import json
 import sys
@@ -12,18 +12,18 @@
 
 
 def print_json(document: object) -> None:
-    """Print a document as indented JSON."""
+    """Print a document to standard output as indented JSON."""
     sys.stdout.write(f'{json.dumps(document, indent=2)}\n')
 
 
 def print_lines(lines: Iterable[str]) -> None:
-    """Print lines."""
+    """Print lines to standard output."""
     for line in lines:
         sys.stdout.write(f'{line}\n')
 
 
 def report_failure(reply: AdminReply | AdminFailure) -> ExitCode:
-    """Say what went wrong and return the exit status for it."""
+    """Print why a request failed and return the exit status for it."""
     if isinstance(reply, AdminReply):
         error = reply.document.get('error', reply.document)
         sys.stderr.write(f'refused with status {reply.status}: {error}\n')
--- a/merlintrail/cli/tests/test_command_line.py
+++ b/merlintrail/cli/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line as a user meets it."""
+"""Tests that run the command line and the daemon as processes."""
 
 import json
 import subprocess
@@ -59,10 +59,10 @@
 
 
 class CommandLineTest(unittest.TestCase):
-    """Commands that need no node, and nodes that are not there."""
+    """Commands that need no node or cannot reach one."""
 
     def test_help(self) -> None:
-        """Help is useful and no failure; no command is a failure."""
+        """Help exits with 0; an incomplete or unknown command with USAGE."""
         for words in (['--help'], ['help']):
             finished = _run(*words)
             self.assertEqual(finished.returncode, ExitCode.OK)
@@ -73,7 +73,7 @@
             self.assertIn('usage:', finished.stderr)
 
     def test_check(self) -> None:
-        """Valid, invalid with all findings, missing, no JSON."""
+        """All findings are printed; a missing or non-JSON file is invalid."""
         path = str(_EXAMPLES / 'rettelse.json')
         self.assertEqual(_run('config', 'check', path).returncode, 0)
         finished = _run(
@@ -88,13 +88,13 @@
         self.assertEqual(finished.returncode, ExitCode.INVALID)
 
     def test_example_is_valid(self) -> None:
-        """The printed example passes the check."""
+        """The printed example passes validation."""
         example = _run('config', 'example').stdout
         finished = _run('config', 'check', '-', text=example)
         self.assertEqual(finished.returncode, ExitCode.OK)
 
     def test_settings_check(self) -> None:
-        """All findings of a settings file."""
+        """All findings of a settings file are printed."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / 'settings.json'
             path.write_text(json.dumps({'instance': '', 'join': ['x']}))
@@ -104,7 +104,7 @@
             self.assertIn('fleet_key', finished.stderr)
 
     def test_unreachable_node(self) -> None:
-        """Said in one line, with its own exit status."""
+        """An unreachable node is one error line and UNREACHABLE."""
         for words in (('status',), ('config', 'show'), ('members',)):
             finished = _run('--node=127.0.0.1:1', *words)
             self.assertEqual(finished.returncode, ExitCode.UNREACHABLE)
@@ -112,17 +112,17 @@
 
 
 class DaemonTest(unittest.TestCase):
-    """The daemon with bad settings."""
+    """The daemon validates its settings before it starts."""
 
     def test_bad_settings(self) -> None:
-        """Every finding with its place, and no start."""
+        """Invalid settings are reported with their location; exit status 2."""
         finished = _start_daemon('{"instance": 7, "unknown": true}')
         self.assertEqual(finished.returncode, 2)
         self.assertIn('/instance', finished.stderr)
         self.assertIn('unknown', finished.stderr)
 
     def test_check_settings(self) -> None:
-        """A check says that all is well, or every finding; no start."""
+        """``--check_settings`` reports the result and exits."""
         finished = _start_daemon(json.dumps(_SETTINGS), '--check_settings')
         self.assertEqual(finished.returncode, 0, finished.stderr)
         self.assertIn('no findings', finished.stdout)
--- a/merlintrail/cli/tests/test_explain.py
+++ b/merlintrail/cli/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The way of a request through the logs of several nodes."""
+"""Tests of a request's path reconstructed from the logs of several nodes."""
 
 import contextlib
 import io
@@ -11,7 +11,7 @@
 from merlintrail.cli._exit_codes import ExitCode
 from merlintrail.cli._explain import (
     LogLine,
-    describe_lines,
+    format_lines,
     explain_request,
     find_causes,
     find_gaps,
@@ -73,10 +73,10 @@
 
 
 class SelectionTest(unittest.TestCase):
-    """Which lines belong to a request."""
+    """Log lines are parsed and selected by request."""
 
     def test_order(self) -> None:
-        """Lines of all nodes in order of time, those of calls below too."""
+        """Lines of nested calls are included, and sorted by time."""
         lines = select_lines('a', _read_all(_FRONT, _DEEP, _BACK))
         self.assertEqual(
             [(line.node, line.event) for line in lines],
@@ -91,7 +91,7 @@
         )
 
     def test_foreign_text(self) -> None:
-        """What is no line of a node is passed over, a prefix cut off."""
+        """Lines that are no JSON object are skipped, and prefixes removed."""
         lines = read_log(
             ['', 'text', '{broken', '[7]', f'  5.1 s front: {_FRONT[0]}\n'],
             'x',
@@ -99,22 +99,22 @@
         self.assertEqual([line.request_id for line in lines], ['a'])
 
     def test_cut_line(self) -> None:
-        """A whole object behind the beginning of another is read."""
+        """An object behind the first part of a truncated line is parsed."""
         whole = '{"time":"t","event":"route","request_id":"a"}'
         lines = read_log([f'{whole[:20]}  5.1 s back {whole}'], 'x')
         self.assertEqual([line.request_id for line in lines], ['a'])
 
     def test_lines_without_node(self) -> None:
-        """The name of the file stands in for the node's."""
+        """The name of the log is used if a line names no node."""
         lines = read_log(['{"event":"route","request_id":"a"}'], 'node-1')
         self.assertEqual(lines[0].node, 'node-1')
 
 
 class FindingsTest(unittest.TestCase):
-    """What the lines tell together."""
+    """Causes and gaps are derived from the lines."""
 
     def test_causes(self) -> None:
-        """Each reason once, with the service and what it means."""
+        """Each service and reason is explained once."""
         lines = select_lines('a', _read_all(_FRONT, _BACK, _DEEP, _DEEP))
         causes = find_causes(lines)
         self.assertEqual(len(causes), 2)
@@ -122,32 +122,32 @@
         self.assertIn('middle: overload: ', causes[1])
 
     def test_any_field_is_shown(self) -> None:
-        """Lists and objects too; what is empty or absent is not."""
+        """Lists and zeros are printed; empty and null fields are not."""
         line = _write(
             'a', '1', 'x', request_id='a', many=['b'], none=None, empty='', no=0
         )
-        text = describe_lines(_read_all([line]))[0]
+        text = format_lines(_read_all([line]))[0]
         self.assertIn("many=['b'] no=0", text)
         self.assertNotIn('none', text)
         self.assertNotIn('empty', text)
 
     def test_gaps(self) -> None:
-        """A node that was sent a call and says nothing, lines left out."""
-        left_out = [_write('back', '6.000', 'lines left out', lines=7)]
-        lines = _read_all(_FRONT, _BACK, left_out)
+        """A missing arrival and dropped lines are reported."""
+        drop_notice = [_write('back', '6.000', 'lines left out', lines=7)]
+        lines = _read_all(_FRONT, _BACK, drop_notice)
         gaps = find_gaps(select_lines('a', lines), lines)
         self.assertEqual(len(gaps), 2)
         self.assertIn('deep says nothing of b', gaps[0])
         self.assertIn('back left out 7 lines', gaps[1])
-        whole = _read_all(_FRONT, _BACK, _DEEP)
-        self.assertEqual(find_gaps(select_lines('a', whole), whole), [])
+        complete = _read_all(_FRONT, _BACK, _DEEP)
+        self.assertEqual(find_gaps(select_lines('a', complete), complete), [])
 
 
 class CommandTest(unittest.TestCase):
-    """The command as a user meets it."""
+    """The command reads log files and prints the path of a request."""
 
     def test_files(self) -> None:
-        """Files of several nodes; a request that none of them names."""
+        """Logs of several nodes are merged; an unknown request fails."""
         with tempfile.TemporaryDirectory() as folder:
             paths = []
             for name, log in (('front', _FRONT), ('back', _BACK)):
