--- a/merlintrail/console/__init__.py
+++ b/merlintrail/console/__init__.py
@@ -1,4 +1,4 @@
-"""Console of forms and administration API."""
+"""Web console and administration API of a node."""
 
 from merlintrail.console._server import Console, start_console
 
--- a/merlintrail/console/_access.py
+++ b/merlintrail/console/_access.py
@@ -1,4 +1,4 @@
-"""What operators' requests need of the node and of the store."""
+"""Access to the node and the store from the threads of the console."""
 
 import asyncio
 import time
@@ -24,14 +24,14 @@
 from merlintrail.node import Node
 from merlintrail.state import Envelope
 
-#: Seconds to wait for the node's own thread.
+#: Seconds to wait for a result from the node's event loop.
 LOOP_TIMEOUT_S: Final = 10.0
-#: Earlier documents that are shown.
-HISTORY_COUNT: Final = 20
+#: Maximum number of documents in the history.
+HISTORY_LIMIT: Final = 20
 
 
 class NodeAccess:
-    """The node, read on its own thread, and the store."""
+    """Reads the node on its event loop, and documents from the store."""
 
     def __init__(
         self,
@@ -43,11 +43,14 @@
         self.loop = loop
         self._client = client
 
-    def call_node(self, read: Callable[[], Any]) -> Any:
-        """Run a function on the node's own thread."""
+    def run_on_node(self, function: Callable[[], Any]) -> Any:
+        """Run a function on the node's event loop and return its result.
+
+        :raises TimeoutError: after :data:`LOOP_TIMEOUT_S`.
+        """
 
         async def call() -> Any:
-            return read()
+            return function()
 
         future = asyncio.run_coroutine_threadsafe(call(), self.loop)
         return future.result(LOOP_TIMEOUT_S)
@@ -57,34 +60,38 @@
         return read_stored_document(self._client)
 
     def read_history(self) -> list[Envelope] | StoreFailure:
-        """Read the latest documents, the newest first."""
+        """Read the most recent documents, newest first."""
         stored = self.read_document()
         if isinstance(stored, StoreFailure):
             return stored
         return read_history(
-            self._client, stored.envelope.generation, HISTORY_COUNT
+            self._client, stored.envelope.generation, HISTORY_LIMIT
         )
 
-    def read_earlier(self, generation: int) -> list[Envelope]:
-        """Read one generation; the list is empty when it is gone."""
+    def read_generation(self, generation: int) -> list[Envelope]:
+        """Return one generation in a list, empty if it cannot be read."""
         return read_history(self._client, generation, 1)
 
     def apply(
         self,
         request: AdminRequest,
         document: Mapping[str, Any],
-        seen: int,
+        seen_generation: int,
         change_id: str,
     ) -> Envelope | ChangeConflict | ChangeInvalid | StoreFailure:
-        """Put a document in force for an operator."""
+        """Apply a document in the name of the operator of the request."""
         change = ConfigurationChange(
-            document, seen, str(request.operator), change_id, time.time()
+            document,
+            seen_generation,
+            str(request.operator),
+            change_id,
+            time.time(),
         )
         return apply_change(self._client, change)
 
 
-def tell_store_failure(failure: StoreFailure) -> AdminAnswer:
-    """Build the answer that tells of a store failure."""
+def answer_store_failure(failure: StoreFailure) -> AdminAnswer:
+    """Build the answer that reports a store failure."""
     return answer_json(
         503, {'error': f'store {failure.fault}: {failure.reason}'}
     )
--- a/merlintrail/console/_api.py
+++ b/merlintrail/console/_api.py
@@ -1,4 +1,4 @@
-"""The administration API."""
+"""The JSON administration API."""
 
 import asyncio
 import uuid
@@ -8,7 +8,7 @@
 from merlintrail.console._access import (
     LOOP_TIMEOUT_S,
     NodeAccess,
-    tell_store_failure,
+    answer_store_failure,
 )
 from merlintrail.console._fleet import collect_fleet
 from merlintrail.console._messages import (
@@ -28,20 +28,20 @@
 
 
 class AdminApi:
-    """Answers JSON to operators and their programs."""
+    """Serves the resources below ``/v1/`` to authenticated operators."""
 
     def __init__(self, access: NodeAccess) -> None:
         self._access = access
         self._handlers: Mapping[tuple[str, str], Handler] = {
-            ('GET', '/v1/status'): self._tell_status,
-            ('GET', '/v1/members'): self._tell_members,
-            ('GET', '/v1/routes'): self._tell_routes,
-            ('GET', '/v1/metrics'): self._tell_metrics,
-            ('GET', '/v1/fleet'): self._tell_fleet,
-            ('GET', '/v1/configuration'): self._tell_configuration,
-            ('POST', '/v1/configuration'): self._apply_by_api,
-            ('POST', '/v1/configuration/check'): self._check_by_api,
-            ('GET', '/v1/configuration/history'): self._tell_history,
+            ('GET', '/v1/status'): self._answer_status,
+            ('GET', '/v1/members'): self._answer_members,
+            ('GET', '/v1/routes'): self._answer_routes,
+            ('GET', '/v1/metrics'): self._answer_metrics,
+            ('GET', '/v1/fleet'): self._answer_fleet,
+            ('GET', '/v1/configuration'): self._answer_configuration,
+            ('POST', '/v1/configuration'): self._apply_document,
+            ('POST', '/v1/configuration/check'): self._check_document,
+            ('GET', '/v1/configuration/history'): self._answer_history,
         }
 
     def serve(self, request: AdminRequest) -> AdminAnswer:
@@ -53,44 +53,44 @@
             return answer_json(404, {'error': 'no such resource'})
         return handle(request)
 
-    def _tell_status(self, _: AdminRequest) -> AdminAnswer:
+    def _answer_status(self, _: AdminRequest) -> AdminAnswer:
         return answer_json(
-            200, self._access.call_node(self._access.node.build_status)
+            200, self._access.run_on_node(self._access.node.build_status)
         )
 
-    def _tell_members(self, _: AdminRequest) -> AdminAnswer:
+    def _answer_members(self, _: AdminRequest) -> AdminAnswer:
         return answer_json(
-            200, self._access.call_node(self._access.node.list_members)
+            200, self._access.run_on_node(self._access.node.list_members)
         )
 
-    def _tell_routes(self, _: AdminRequest) -> AdminAnswer:
+    def _answer_routes(self, _: AdminRequest) -> AdminAnswer:
         return answer_json(
-            200, self._access.call_node(self._access.node.list_routes)
+            200, self._access.run_on_node(self._access.node.list_routes)
         )
 
-    def _tell_metrics(self, _: AdminRequest) -> AdminAnswer:
+    def _answer_metrics(self, _: AdminRequest) -> AdminAnswer:
         return answer_json(200, self._access.node.metrics.read_all())
 
-    def _tell_fleet(self, _: AdminRequest) -> AdminAnswer:
-        """Ask every member for its state."""
+    def _answer_fleet(self, _: AdminRequest) -> AdminAnswer:
+        """Answer with the state that each member reports."""
         collected = asyncio.run_coroutine_threadsafe(
             collect_fleet(self._access.node), self._access.loop
         )
         return answer_json(200, collected.result(LOOP_TIMEOUT_S))
 
-    def _tell_configuration(self, _: AdminRequest) -> AdminAnswer:
+    def _answer_configuration(self, _: AdminRequest) -> AdminAnswer:
         stored = self._access.read_document()
         if isinstance(stored, StoreFailure):
-            return tell_store_failure(stored)
+            return answer_store_failure(stored)
         return answer_json(200, stored.envelope._asdict())
 
-    def _tell_history(self, _: AdminRequest) -> AdminAnswer:
+    def _answer_history(self, _: AdminRequest) -> AdminAnswer:
         envelopes = self._access.read_history()
         if isinstance(envelopes, StoreFailure):
-            return tell_store_failure(envelopes)
+            return answer_store_failure(envelopes)
         return answer_json(200, [envelope._asdict() for envelope in envelopes])
 
-    def _check_by_api(self, request: AdminRequest) -> AdminAnswer:
+    def _check_document(self, request: AdminRequest) -> AdminAnswer:
         document = decode_json(request.body)
         if not isinstance(document, dict):
             return answer_json(400, {'error': 'not a JSON object'})
@@ -100,7 +100,7 @@
             {'findings': [finding._asdict() for finding in findings]},
         )
 
-    def _apply_by_api(self, request: AdminRequest) -> AdminAnswer:
+    def _apply_document(self, request: AdminRequest) -> AdminAnswer:
         body = decode_json(request.body)
         is_complete = isinstance(body, dict) and isinstance(
             body.get('document'), dict
@@ -122,4 +122,4 @@
         if isinstance(outcome, ChangeInvalid):
             findings = [finding._asdict() for finding in outcome.findings]
             return answer_json(422, {'findings': findings})
-        return tell_store_failure(outcome)
+        return answer_store_failure(outcome)
--- a/merlintrail/console/_application.py
+++ b/merlintrail/console/_application.py
@@ -1,4 +1,4 @@
-"""The WSGI application: console of forms and administration API."""
+"""The WSGI application that serves the console and the API."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Mapping
@@ -14,15 +14,15 @@
     AdminRequest,
     answer_json,
 )
-from merlintrail.console._operators import Operators, read_session_token
+from merlintrail.console._operators import OperatorRegistry, read_session_token
 from merlintrail.coordination import create_store_client
 from merlintrail.node import Node
 
-#: Bytes of the largest request.
+#: Maximum size of a request body in bytes.
 MAX_BODY_BYTES: Final = 2097152
-#: Path of the metrics as text, which needs no key.
+#: Path of the metrics as text, which is served without a key.
 METRICS_PATH: Final = '/metrics'
-_REASONS: Final = {
+_REASON_PHRASES: Final = {
     200: 'OK',
     303: 'See Other',
     400: 'Bad Request',
@@ -37,10 +37,10 @@
 
 
 class Application:
-    """Recognises operators and passes their requests on."""
+    """Authenticates operators and dispatches their requests."""
 
     def __init__(self, access: NodeAccess) -> None:
-        self._operators = Operators(access.node.settings.operator_keys)
+        self._operators = OperatorRegistry(access.node.settings.operator_keys)
         self._metrics = access.node.metrics
         self._api = AdminApi(access)
         self._console = FormConsole(access, self._operators)
@@ -50,9 +50,9 @@
         environ: Mapping[str, Any],
         start_response: Callable[..., Any],
     ) -> Iterable[bytes]:
-        """Answer one request, as WSGI has it."""
+        """Answer one request; the WSGI callable."""
         answer = self._serve(environ)
-        reason = _REASONS.get(answer.status, 'Unknown')
+        reason = _REASON_PHRASES.get(answer.status, 'Unknown')
         start_response(
             f'{answer.status} {reason}',
             [
@@ -72,16 +72,16 @@
         length = int(environ.get('CONTENT_LENGTH') or 0)
         if length > MAX_BODY_BYTES:
             return answer_json(413, {'error': 'body too large'})
-        session = read_session_token(environ.get('HTTP_COOKIE', ''))
+        session_token = read_session_token(environ.get('HTTP_COOKIE', ''))
         operator = self._operators.find_by_header(
             environ.get('HTTP_AUTHORIZATION', '')
-        ) or self._operators.find_by_session(session)
+        ) or self._operators.find_by_session(session_token)
         request = AdminRequest(
             environ['REQUEST_METHOD'],
             environ['PATH_INFO'],
             environ['wsgi.input'].read(length) if length else b'',
             operator,
-            session,
+            session_token,
         )
         if request.path == METRICS_PATH:
             text = self._metrics.render_text()
--- a/merlintrail/console/_fleet.py
+++ b/merlintrail/console/_fleet.py
@@ -1,4 +1,4 @@
-"""The state of every known node, asked for at once."""
+"""Collection of the state of every member."""
 
 import asyncio
 from collections.abc import Mapping, Sequence
@@ -8,20 +8,23 @@
 from merlintrail.state import Member
 from merlintrail.transport import TransportFailure
 
-#: Nodes that are asked at a time.
-MAX_PARALLEL: Final = 64
-#: Seconds to wait for one node.
-TIMEOUT_S: Final = 1.0
+#: Members that are queried at the same time.
+MAX_CONCURRENT_REQUESTS: Final = 64
+#: Seconds to wait for the answer of one member.
+MEMBER_TIMEOUT_S: Final = 1.0
 
 
 async def collect_fleet(node: Node) -> Sequence[Mapping[str, Any]]:
-    """Ask every member for its state; a silent one is listed as such."""
-    permits = asyncio.Semaphore(MAX_PARALLEL)
+    """Query every member for its state.
 
-    async def ask(member: Member) -> Mapping[str, Any]:
+    A member that does not answer is listed with an ``error``.
+    """
+    permits = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
+
+    async def query(member: Member) -> Mapping[str, Any]:
         async with permits:
             answer = await node.peers.ask(
-                member.peer_address, 'status', {}, timeout_s=TIMEOUT_S
+                member.peer_address, 'status', {}, timeout_s=MEMBER_TIMEOUT_S
             )
         if isinstance(answer, TransportFailure):
             return {'instance': member.node_id, 'error': answer.reason}
@@ -29,4 +32,4 @@
         return status
 
     members = node.table.list_present()
-    return await asyncio.gather(*(ask(member) for member in members))
+    return await asyncio.gather(*(query(member) for member in members))
--- a/merlintrail/console/_form_console.py
+++ b/merlintrail/console/_form_console.py
@@ -1,11 +1,11 @@
-"""The console of forms."""
+"""The web console, which edits the document in a form."""
 
 import uuid
 from collections.abc import Callable, Mapping
 from typing import Any, TypeAlias
 from urllib.parse import parse_qsl
 
-from merlintrail.console._access import NodeAccess, tell_store_failure
+from merlintrail.console._access import NodeAccess, answer_store_failure
 from merlintrail.console._form_reading import edit_rows, read_form
 from merlintrail.console._forms import build_context, render_form
 from merlintrail.console._messages import (
@@ -17,7 +17,7 @@
 )
 from merlintrail.console._operators import (
     COOKIE,
-    Operators,
+    OperatorRegistry,
     compute_form_token,
 )
 from merlintrail.console._pages import (
@@ -40,20 +40,20 @@
 
 
 class FormConsole:
-    """Pages and forms whose only output is one validated document."""
+    """Serves the pages; what a form applies is one validated document."""
 
-    def __init__(self, access: NodeAccess, operators: Operators) -> None:
+    def __init__(self, access: NodeAccess, operators: OperatorRegistry) -> None:
         self._access = access
         self._operators = operators
         self._handlers: Mapping[tuple[str, str], Handler] = {
             ('GET', '/'): self._show_overview,
             ('GET', '/configuration'): self._show_form,
-            ('POST', '/configuration'): self._take_form,
+            ('POST', '/configuration'): self._submit_form,
             ('GET', '/history'): self._show_history,
         }
 
     def serve(self, request: AdminRequest) -> AdminAnswer:
-        """Answer one request of a browser."""
+        """Answer one request of a browser, or ask it to sign in."""
         if request.path == '/login' and request.method == 'POST':
             return self._sign_in(request)
         if request.operator is None:
@@ -73,20 +73,20 @@
         return redirect('/', ('Set-Cookie', cookie))
 
     def _show_overview(self, _: AdminRequest) -> AdminAnswer:
-        status = self._access.call_node(self._access.node.build_status)
-        members = self._access.call_node(self._access.node.list_members)
+        status = self._access.run_on_node(self._access.node.build_status)
+        members = self._access.run_on_node(self._access.node.list_members)
         return answer_page(200, build_overview(status, members))
 
     def _show_history(self, _: AdminRequest) -> AdminAnswer:
         envelopes = self._access.read_history()
         if isinstance(envelopes, StoreFailure):
-            return tell_store_failure(envelopes)
+            return answer_store_failure(envelopes)
         return answer_page(200, build_history_page(envelopes))
 
     def _show_form(self, request: AdminRequest) -> AdminAnswer:
         stored = self._access.read_document()
         if isinstance(stored, StoreFailure):
-            return tell_store_failure(stored)
+            return answer_store_failure(stored)
         return self._build_form(
             200,
             request,
@@ -94,31 +94,42 @@
             stored.envelope.generation,
         )
 
-    def _take_form(self, request: AdminRequest) -> AdminAnswer:
+    def _submit_form(self, request: AdminRequest) -> AdminAnswer:
         fields = _read_fields(request.body)
-        if fields.get('token') != compute_form_token(request.session):
-            return answer_json(403, {'error': 'the form is not of a session'})
+        if fields.get('token') != compute_form_token(request.session_token):
+            return answer_json(
+                403, {'error': 'the form token does not match the session'}
+            )
         document = read_form(fields)
-        seen = int(fields.get('seen', '0') or 0)
+        seen_generation = int(fields.get('seen', '0') or 0)
         action = fields.get('do', 'check')
         if ':' in action:
             edited = edit_rows(document, action)
-            return self._build_form(200, request, edited, seen)
+            return self._build_form(200, request, edited, seen_generation)
         if action == 'apply':
-            return self._apply_form(request, document, seen)
+            return self._apply_form(request, document, seen_generation)
         findings = validate_document(document)
         message = build_message(
             f'{len(findings)} findings' if findings else 'No findings.',
             is_error=bool(findings),
         )
         return self._build_form(
-            422 if findings else 200, request, document, seen, message
+            422 if findings else 200,
+            request,
+            document,
+            seen_generation,
+            message,
         )
 
     def _apply_form(
-        self, request: AdminRequest, document: dict[str, Any], seen: int
+        self,
+        request: AdminRequest,
+        document: dict[str, Any],
+        seen_generation: int,
     ) -> AdminAnswer:
-        outcome = self._access.apply(request, document, seen, str(uuid.uuid4()))
+        outcome = self._access.apply(
+            request, document, seen_generation, str(uuid.uuid4())
+        )
         if isinstance(outcome, Envelope):
             message = build_message(
                 f'Generation {outcome.generation} is accepted.', is_error=False
@@ -128,7 +139,9 @@
             )
         if isinstance(outcome, ChangeConflict):
             current = outcome.current
-            differences = self._find_foreign_changes(seen, current)
+            differences = self._find_concurrent_changes(
+                seen_generation, current
+            )
             return self._build_form(
                 409,
                 request,
@@ -140,14 +153,18 @@
         if isinstance(outcome, StoreFailure):
             text = f'The store did not answer: {outcome.reason}. Try again.'
         return self._build_form(
-            422, request, document, seen, build_message(text, is_error=True)
+            422,
+            request,
+            document,
+            seen_generation,
+            build_message(text, is_error=True),
         )
 
-    def _find_foreign_changes(
-        self, seen: int, current: Envelope
+    def _find_concurrent_changes(
+        self, seen_generation: int, current: Envelope
     ) -> list[Difference]:
-        """Find what others changed since the generation that was seen."""
-        earlier = self._access.read_earlier(seen)
+        """Return the changes applied since the generation that was shown."""
+        earlier = self._access.read_generation(seen_generation)
         document = earlier[0].document if earlier else {}
         return list(find_differences(document, current.document))
 
@@ -161,7 +178,7 @@
     ) -> AdminAnswer:
         findings = validate_document(document) if message else []
         fields = render_form(build_context(findings), document)
-        token = compute_form_token(request.session)
+        token = compute_form_token(request.session_token)
         return answer_page(
             status, build_form_page(fields, token, generation, message)
         )
--- a/merlintrail/console/_form_reading.py
+++ b/merlintrail/console/_form_reading.py
@@ -1,4 +1,4 @@
-"""Documents read from the fields of a form."""
+"""Conversion of form fields to a document."""
 
 import re
 from collections.abc import Mapping
@@ -17,8 +17,8 @@
 def read_form(fields: Mapping[str, str]) -> dict[str, Any]:
     """Build the document from the fields of a form.
 
-    A text that is no number stays a text, so that the check of the document
-    tells of it beside the field.
+    Text in a number field that is not a number is kept as text, so that
+    validation reports it beside the field.
     """
     schema = load_schema()
     document: dict[str, Any] = _read_object(schema, schema, fields, '')
@@ -34,10 +34,10 @@
 ) -> dict[str, Any]:
     document = {}
     for name, part in schema['properties'].items():
-        inner = f'{path}{SEPARATOR}{name}' if path else name
-        found = _read_part(root, resolve_schema(root, part), fields, inner)
-        if found is not None:
-            document[name] = found
+        child_path = f'{path}{SEPARATOR}{name}' if path else name
+        child = _read_part(root, resolve_schema(root, part), fields, child_path)
+        if child is not None:
+            document[name] = child
     return document
 
 
@@ -81,17 +81,17 @@
 
 
 def edit_rows(document: dict[str, Any], action: str) -> dict[str, Any]:
-    """Add or remove a row, as a button of the form asks.
+    """Append an empty row or remove a row, as a button requests.
 
     :param action: ``add:PATH`` or ``remove:PATH``.
     """
     verb, _, path = action.partition(':')
     *parents, last = path.split(SEPARATOR)
-    place: Any = document
+    parent: Any = document
     for part in parents:
-        place = place[int(part)] if part.isdigit() else place[part]
+        parent = parent[int(part)] if part.isdigit() else parent[part]
     if verb == 'add':
-        place.setdefault(last, []).append({})
+        parent.setdefault(last, []).append({})
     elif verb == 'remove' and last.isdigit():
-        place.pop(int(last))
+        parent.pop(int(last))
     return document
--- a/merlintrail/console/_forms.py
+++ b/merlintrail/console/_forms.py
@@ -1,4 +1,4 @@
-"""Forms made from the JSON Schema of the document."""
+"""HTML forms generated from the JSON Schema of the document."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from html import escape
@@ -6,7 +6,7 @@
 
 from merlintrail.state import Finding, load_schema
 
-#: Separates the parts of a field's name.
+#: Separates the steps of the path that names a form field.
 SEPARATOR: Final = '.'
 _LABELS: Final = {
     'idempotent': 'Idempotent (may safely run twice)',
@@ -26,7 +26,7 @@
 
 
 class FormContext(NamedTuple):
-    """What a form shows beside its fields."""
+    """The schema that a form is rendered from, and findings to show in it."""
 
     schema: Mapping[str, Any]
     #: Findings by JSON pointer.
@@ -34,17 +34,17 @@
 
 
 def build_context(findings: Sequence[Finding]) -> FormContext:
-    """Build the context of a form from the findings of its document."""
-    by_place: dict[str, list[str]] = {}
+    """Group the findings of a document by the field that they concern."""
+    by_pointer: dict[str, list[str]] = {}
     for finding in findings:
-        by_place.setdefault(finding.place, []).append(finding.message)
-    return FormContext(load_schema(), by_place)
+        by_pointer.setdefault(finding.place, []).append(finding.message)
+    return FormContext(load_schema(), by_pointer)
 
 
 def resolve_schema(
     schema: Mapping[str, Any], part: Mapping[str, Any]
 ) -> Mapping[str, Any]:
-    """Follow a reference within the schema."""
+    """Return the definition that a part refers to, or the part itself."""
     reference = part.get('$ref')
     if reference is None:
         return part
@@ -53,7 +53,7 @@
 
 
 def is_scalar_list(schema: Mapping[str, Any], part: Mapping[str, Any]) -> bool:
-    """Tell whether the entries of an array are plain."""
+    """Return whether the entries of an array are not objects."""
     return resolve_schema(schema, part['items']).get('type') != 'object'
 
 
@@ -76,12 +76,12 @@
     for name, part in schema['properties'].items():
         if name == 'format':
             continue
-        inner = f'{path}{SEPARATOR}{name}' if path else name
+        child_path = f'{path}{SEPARATOR}{name}' if path else name
         yield from _render_part(
             context,
             resolve_schema(context.schema, part),
             document.get(name),
-            inner,
+            child_path,
         )
 
 
@@ -95,8 +95,8 @@
     kind = schema.get('type')
     if kind == 'object':
         yield f'<fieldset><legend>{_make_label(name)}</legend>'
-        inner = document if isinstance(document, dict) else {}
-        yield from _render_object(context, schema, inner, path)
+        members = document if isinstance(document, dict) else {}
+        yield from _render_object(context, schema, members, path)
         yield '</fieldset>'
     elif kind == 'array' and not is_scalar_list(context.schema, schema):
         yield from _render_rows(context, schema, document or [], path)
@@ -131,13 +131,13 @@
 
 
 def _render_findings(context: FormContext, path: str, field_id: str) -> str:
-    place = ''.join(f'/{part}' for part in path.split(SEPARATOR) if part)
-    messages = context.findings.get(place, ())
+    pointer = ''.join(f'/{part}' for part in path.split(SEPARATOR) if part)
+    messages = context.findings.get(pointer, ())
     if not messages:
         return ''
-    identity = f' id="{field_id}-error"' if field_id else ''
+    id_attribute = f' id="{field_id}-error"' if field_id else ''
     text = escape('; '.join(messages))
-    return f'<span class="error" role="alert"{identity}>{text}</span>'
+    return f'<span class="error" role="alert"{id_attribute}>{text}</span>'
 
 
 def _render_field(
@@ -149,8 +149,10 @@
     name = path.rpartition(SEPARATOR)[2]
     field_id = f'f-{path.replace(SEPARATOR, "-")}'
     findings = _render_findings(context, path, field_id)
-    described = f' aria-describedby="{field_id}-error"' if findings else ''
-    attributes = f'id="{field_id}" name="{escape(path)}"{described}'
+    description_attribute = (
+        f' aria-describedby="{field_id}-error"' if findings else ''
+    )
+    attributes = f'id="{field_id}" name="{escape(path)}"{description_attribute}'
     return (
         f'<p><label for="{field_id}">{_make_label(name)}</label> '
         f'{_render_control(schema, document, attributes)} {findings}</p>'
--- a/merlintrail/console/_messages.py
+++ b/merlintrail/console/_messages.py
@@ -1,4 +1,4 @@
-"""Requests of operators and answers to them."""
+"""Requests from operators and the answers to them."""
 
 from typing import NamedTuple
 
@@ -6,19 +6,19 @@
 
 
 class AdminRequest(NamedTuple):
-    """A request of an operator."""
+    """A request to the console or the administration API."""
 
     method: str
     path: str
     body: bytes
-    #: Name of the operator, ``None`` when not recognised.
+    #: Name of the operator, ``None`` if not authenticated.
     operator: str | None
-    #: Token of the browser's session, empty for a key.
-    session: str
+    #: Token of the browser's session, empty without a session cookie.
+    session_token: str
 
 
 class AdminAnswer(NamedTuple):
-    """An answer to an operator."""
+    """The answer to a request."""
 
     status: int
     body: bytes
@@ -27,15 +27,17 @@
 
 
 def answer_json(status: int, document: object) -> AdminAnswer:
-    """Build an answer of the administration API."""
+    """Build an answer with a JSON body."""
     return AdminAnswer(status, encode_json(document))
 
 
 def answer_page(status: int, page: str) -> AdminAnswer:
-    """Build an answer with a page."""
+    """Build an answer with an HTML page."""
     return AdminAnswer(status, page.encode(), 'text/html; charset=utf-8')
 
 
-def redirect(place: str, *headers: tuple[str, str]) -> AdminAnswer:
-    """Build an answer that leads to another page."""
-    return AdminAnswer(303, b'', 'text/plain', (('Location', place), *headers))
+def redirect(location: str, *headers: tuple[str, str]) -> AdminAnswer:
+    """Build an answer that redirects a browser to another page."""
+    return AdminAnswer(
+        303, b'', 'text/plain', (('Location', location), *headers)
+    )
--- a/merlintrail/console/_pages.py
+++ b/merlintrail/console/_pages.py
@@ -1,4 +1,4 @@
-"""HTML pages of the console; they work without scripts."""
+"""HTML pages of the console, which work without JavaScript."""
 
 from collections.abc import Mapping, Sequence
 from html import escape
@@ -17,7 +17,7 @@
 
 
 def build_page(title: str, body: str) -> str:
-    """Build a whole page."""
+    """Build an HTML document with the navigation of the console."""
     return (
         '<!doctype html><html lang="en"><head><meta charset="utf-8">'
         f'<title>{escape(title)} - merlintrail</title>'
@@ -41,7 +41,7 @@
 
 
 def build_table(rows: Sequence[Mapping[str, Any]], caption: str) -> str:
-    """Build a table from records with the same members."""
+    """Build a table; the columns are the keys of the first row."""
     if not rows:
         return f'<p>{escape(caption)}: none.</p>'
     names = list(rows[0])
@@ -61,12 +61,12 @@
 def build_overview(
     status: Mapping[str, Any], members: Sequence[Mapping[str, Any]]
 ) -> str:
-    """Build the page that shows the node and its members."""
-    facts = [
+    """Build the page that shows the node and the members it has listed."""
+    node_rows = [
         {'what': name, 'state': status[name]}
         for name in ('instance', 'data_centre', 'generation', 'health')
     ]
-    shown = [
+    member_rows = [
         {
             'instance': member['node_id'],
             'data centre': member['data_centre'],
@@ -80,16 +80,16 @@
     ]
     return build_page(
         'Overview',
-        build_table(facts, 'This node')
+        build_table(node_rows, 'This node')
         + build_table(status['backend_servers'], 'Backend servers here')
-        + build_table(shown, 'Members'),
+        + build_table(member_rows, 'Members'),
     )
 
 
 def build_form_page(
     fields: str, token: str, generation: int, message: str
 ) -> str:
-    """Build the page with the form of the document."""
+    """Build the page with the form that edits the document."""
     return build_page(
         'Configuration',
         f'{message}<p>Generation in force when this form was filled: '
@@ -105,13 +105,13 @@
 
 
 def build_message(text: str, *, is_error: bool) -> str:
-    """Build a message above a form."""
+    """Build a message that is shown above a form."""
     name = 'error' if is_error else 'done'
     return f'<p class="{name}" role="alert">{escape(text)}</p>'
 
 
 def build_conflict(current: Envelope, differences: Sequence[Difference]) -> str:
-    """Tell an operator who lost a race what changed meanwhile."""
+    """Build the message for an operator whose change conflicts."""
     lines = ''.join(
         f'<li>{escape(str(difference))}</li>' for difference in differences
     )
@@ -124,7 +124,7 @@
 
 
 def build_history_page(envelopes: Sequence[Envelope]) -> str:
-    """Build the page of earlier documents."""
+    """Build the page that lists applied changes."""
     rows = [
         {
             'generation': envelope.generation,
--- a/merlintrail/console/_server.py
+++ b/merlintrail/console/_server.py
@@ -1,4 +1,4 @@
-"""The cheroot server of a node, on a thread of its own."""
+"""The cheroot HTTP server of the console, on its own threads."""
 
 import asyncio
 import threading
@@ -9,8 +9,8 @@
 from merlintrail.console._application import Application, create_application
 from merlintrail.node import Node, split_host_port
 
-#: Threads that answer operators.
-THREADS: Final = 4
+#: Threads that answer requests.
+WORKER_THREADS: Final = 4
 
 
 class Console:
@@ -19,7 +19,7 @@
     def __init__(self, application: Application, address: str) -> None:
         host, port = split_host_port(address)
         self._server: Any = wsgi.Server(
-            (host, port), application.answer, numthreads=THREADS
+            (host, port), application.answer, numthreads=WORKER_THREADS
         )
         self._server.prepare()
         self._thread = threading.Thread(
@@ -28,7 +28,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop answering."""
+        """Stop the server."""
         self._server.stop()
 
 
--- a/merlintrail/console/tests/test_application.py
+++ b/merlintrail/console/tests/test_application.py
@@ -1,4 +1,4 @@
-"""Operators at the console and the administration API of a node."""
+"""Tests of the console and the administration API over HTTP."""
 
 import asyncio
 import html
@@ -29,7 +29,7 @@
 
 
 class _Server:
-    """A store stand-in and a node with its console, on their own thread."""
+    """A test store and a node with its console, on their own thread."""
 
     def __init__(self) -> None:
         store, call, peer, admin = find_free_ports(4)
@@ -53,7 +53,7 @@
         self._ready.wait(10)
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the console and the event loop."""
         self._console.stop()
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(5)
@@ -73,7 +73,7 @@
 
 
 class ApplicationTest(unittest.TestCase):
-    """One operator, and a second one who is quicker."""
+    """One operator uses the forms while another may use the API."""
 
     def setUp(self) -> None:
         self.server = _Server()
@@ -83,14 +83,14 @@
     def tearDown(self) -> None:
         self.server.stop()
 
-    def ask(
+    def call_api(
         self,
         method: str,
         path: str,
         document: object = None,
         key: str = _KEY,
     ) -> tuple[int, Any]:
-        """Ask the administration API."""
+        """Send a request to the administration API."""
         answer = self.http.request(
             method,
             f'http://{self.server.address}{path}',
@@ -102,7 +102,7 @@
     def browse(
         self, path: str, fields: dict[str, str] | None = None
     ) -> tuple[int, str]:
-        """Open a page, or send a form."""
+        """Load a page, or submit a form."""
         answer = self.http.request(
             'GET' if fields is None else 'POST',
             f'http://{self.server.address}{path}',
@@ -115,41 +115,43 @@
             self.cookie = cookie.partition(';')[0]
         return answer.status, answer.data.decode()
 
-    def apply(self, seen: int, deadline_ms: int = 800) -> tuple[int, Any]:
-        """Apply the example with another deadline."""
+    def apply(
+        self, seen_generation: int, deadline_ms: int = 800
+    ) -> tuple[int, Any]:
+        """Apply the example document with the given deadline."""
         document = load_example()
         document['services'][0]['kinds'][0]['deadline_ms'] = deadline_ms
-        body = {'document': document, 'seen_generation': seen}
-        return self.ask('POST', '/v1/configuration', body)
+        body = {'document': document, 'seen_generation': seen_generation}
+        return self.call_api('POST', '/v1/configuration', body)
 
     def read_fields(self, page: str) -> dict[str, str]:
-        """Read the fields of a form as a browser would send them."""
-        found = [
+        """Return the form fields of a page as a browser submits them."""
+        matches = [
             *_FIELD.findall(page),
             *_SELECT.findall(page),
             *_TEXTAREA.findall(page),
         ]
         return {
-            html.unescape(name): html.unescape(text) for name, text in found
+            html.unescape(name): html.unescape(text) for name, text in matches
         }
 
     def test_key_is_required(self) -> None:
-        """Missing or wrong: 401, and nothing changes."""
+        """A missing or wrong key is answered with 401 and changes nothing."""
         for key in ('', 'wrong', f'{_KEY}x'):
             for method, path in (
                 ('GET', '/v1/status'),
                 ('POST', '/v1/configuration'),
                 ('POST', '/v1/configuration/check'),
             ):
-                self.assertEqual(self.ask(method, path, {}, key)[0], 401)
+                self.assertEqual(self.call_api(method, path, {}, key)[0], 401)
         self.assertEqual(self.browse('/configuration')[0], 401)
         status, _ = self.browse('/login', {'key': 'wrong'})
         self.assertEqual(status, 401)
-        _, envelope = self.ask('GET', '/v1/configuration')
+        _, envelope = self.call_api('GET', '/v1/configuration')
         self.assertEqual(envelope['generation'], 0)
 
     def test_metrics_need_no_key(self) -> None:
-        """As text, for a program that collects them."""
+        """Metrics are served as Prometheus text without a key."""
         answer = self.http.request(
             'GET', f'http://{self.server.address}/metrics'
         )
@@ -158,11 +160,11 @@
         self.assertIn(b'merlintrail_members', answer.data)
 
     def test_routes(self) -> None:
-        """None without a configuration, then those in force."""
-        self.assertEqual(self.ask('GET', '/v1/routes'), (200, []))
+        """There are no routes without a configuration."""
+        self.assertEqual(self.call_api('GET', '/v1/routes'), (200, []))
 
     def test_api_applies_and_refuses(self) -> None:
-        """Applied, then a conflict, then findings, then history."""
+        """Changes are applied, refused on conflict or findings, and listed."""
         self.assertEqual(self.apply(0), (200, {'generation': 1}))
         status, conflict = self.apply(0, 900)
         self.assertEqual(status, 409)
@@ -174,22 +176,22 @@
             '/services/0/kinds/0/deadline_ms',
         )
         self.assertEqual(self.apply(1, 900)[0], 200)
-        _, history = self.ask('GET', '/v1/configuration/history')
+        _, history = self.call_api('GET', '/v1/configuration/history')
         self.assertEqual(
             [envelope['generation'] for envelope in history], [2, 1]
         )
 
     def test_bad_bodies(self) -> None:
-        """Each gets a clear 4xx."""
+        """Malformed bodies get 400 with an error, unknown paths 404."""
         bodies: tuple[object, ...] = ([], {}, {'document': 1}, {'document': {}})
         for body in bodies:
-            status, answer = self.ask('POST', '/v1/configuration', body)
+            status, answer = self.call_api('POST', '/v1/configuration', body)
             self.assertEqual(status, 400)
             self.assertIn('error', answer)
-        self.assertEqual(self.ask('GET', '/v1/nothing')[0], 404)
+        self.assertEqual(self.call_api('GET', '/v1/nothing')[0], 404)
 
     def test_form_gives_the_same_document(self) -> None:
-        """What the form shows and sends back is the document itself."""
+        """Submitting an unchanged form applies an identical document."""
         self.apply(0)
         self.browse('/login', {'key': _KEY})
         _, page = self.browse('/configuration')
@@ -197,11 +199,11 @@
         status, page = self.browse('/configuration', {**fields, 'do': 'apply'})
         self.assertEqual(status, 200)
         self.assertIn('Generation 2 is accepted', page)
-        _, envelope = self.ask('GET', '/v1/configuration')
+        _, envelope = self.call_api('GET', '/v1/configuration')
         self.assertEqual(envelope['document'], load_example())
 
     def test_error_stands_beside_its_field(self) -> None:
-        """A text for a number: named, kept, not applied."""
+        """Text in a number field is reported and kept, but not applied."""
         self.apply(0)
         self.browse('/login', {'key': _KEY})
         _, page = self.browse('/configuration')
@@ -211,11 +213,14 @@
         self.assertEqual(status, 422)
         self.assertIn('f-services-0-kinds-0-deadline_ms-error', page)
         self.assertIn('value="soon"', page)
-        _, envelope = self.ask('GET', '/v1/configuration')
+        _, envelope = self.call_api('GET', '/v1/configuration')
         self.assertEqual(envelope['generation'], 1)
 
     def test_loser_of_a_race_loses_nothing_typed(self) -> None:
-        """It sees what changed, keeps its entries, and may apply again."""
+        """A conflict shows the other changes and keeps the entries.
+
+        Submitting the form again then succeeds.
+        """
         self.apply(0)
         self.browse('/login', {'key': _KEY})
         _, page = self.browse('/configuration')
@@ -232,7 +237,7 @@
         self.assertEqual(status, 200)
 
     def test_rows_are_added_and_removed(self) -> None:
-        """Buttons of the form, without scripts."""
+        """Buttons add and remove rows without JavaScript."""
         self.apply(0)
         self.browse('/login', {'key': _KEY})
         _, page = self.browse('/configuration')
@@ -247,7 +252,7 @@
         self.assertNotIn('services.3.name', self.read_fields(page))
 
     def test_form_of_no_session_is_refused(self) -> None:
-        """A form without its token changes nothing."""
+        """A form without its CSRF token is refused with 403."""
         self.browse('/login', {'key': _KEY})
         status, _ = self.browse('/configuration', {'do': 'apply'})
         self.assertEqual(status, 403)
