--- a/merlintrail/cli/_load_command.py
+++ b/merlintrail/cli/_load_command.py
@@ -40,7 +40,7 @@
         _DEADLINE_MS.value,
         method=str(_METHOD.value),
         is_keyed=_KEYED.value,
-        is_echoed=False,
+        expects_echo=False,
     )
     generator = LoadGenerator([address], random.Random(_SEED.value))
     result = asyncio.run(generator.run([kind], _DURATION.value))
--- a/merlintrail/cli/tests/test_explain.py
+++ b/merlintrail/cli/tests/test_explain.py
@@ -100,8 +100,10 @@
 
     def test_cut_line(self) -> None:
         """An object behind the first part of a truncated line is parsed."""
-        whole = '{"time":"t","event":"route","request_id":"a"}'
-        lines = read_log([f'{whole[:20]}  5.1 s back {whole}'], 'x')
+        complete_line = '{"time":"t","event":"route","request_id":"a"}'
+        lines = read_log(
+            [f'{complete_line[:20]}  5.1 s back {complete_line}'], 'x'
+        )
         self.assertEqual([line.request_id for line in lines], ['a'])
 
     def test_lines_without_node(self) -> None:
--- a/merlintrail/load/__init__.py
+++ b/merlintrail/load/__init__.py
@@ -1,4 +1,4 @@
-"""Load tool: open-loop arrivals, and what became of each request."""
+"""Open-loop load generator that records the outcome of each request."""
 
 from merlintrail.load._generator import (
     LoadGenerator,
--- a/merlintrail/load/_generator.py
+++ b/merlintrail/load/_generator.py
@@ -1,4 +1,4 @@
-"""A load tool: open-loop arrivals of several request kinds."""
+"""Open-loop load generator for several kinds of requests."""
 
 import asyncio
 import random
@@ -21,48 +21,50 @@
     create_pool,
 )
 
-#: Seconds beyond its deadline that a client waits.
-CLIENT_PATIENCE_S: Final = 0.5
+#: Seconds that a client waits for an answer beyond the deadline.
+CLIENT_TIMEOUT_MARGIN_S: Final = 0.5
 _OK: Final = 200
 _MS_PER_S: Final = 1000
 
 
 class LoadKind(NamedTuple):
-    """Requests of one kind."""
+    """A kind of request and the rate at which it is sent."""
 
     name: str
-    #: ``/SERVICE/PATH``.
+    #: Request target, ``/SERVICE/PATH``.
     target: str
-    #: Requests a second.
+    #: Mean number of requests per second.
     rate: float
     deadline_ms: float
     method: str = 'POST'
     body_bytes: int = 512
     #: Whether each request carries an idempotency key.
     is_keyed: bool = False
-    #: Times that a client sends a failed request again at once.
+    #: Maximum number of immediate retries of a failed request.
     client_retries: int = 0
-    #: Whether a whole answer holds the request's body.
-    is_echoed: bool = True
+    #: Whether a successful answer must contain the body of the request.
+    expects_echo: bool = True
 
 
 class Sample(NamedTuple):
-    """One finished request."""
+    """The measurements of one finished request, over all its attempts."""
 
     kind: str
-    #: Seconds since the start of the load at which it was sent.
+    #: Seconds from the start of the load to the first attempt.
     sent_at: float
     latency_s: float
     is_success: bool
-    #: Outcome or failure that the client saw.
+    #: Outcome header of the last answer, else ``status N`` or ``no-answer``.
     outcome: str
+    #: Reason header of the last answer, else the status or transport failure;
+    #: may be empty for an answer with status 200.
     reason: str
-    #: Times that the client sent it.
-    sends: int = 1
+    #: Number of times that the client sent the request.
+    attempts: int = 1
 
 
 class LoadResult(NamedTuple):
-    """Everything that a load run saw."""
+    """The samples of a load run."""
 
     samples: Sequence[Sample]
 
@@ -73,7 +75,7 @@
         )
 
     def between(self, start_s: float, end_s: float) -> 'LoadResult':
-        """Return the samples sent within a time."""
+        """Return the samples sent from ``start_s`` until before ``end_s``."""
         return LoadResult(
             [
                 sample
@@ -84,11 +86,11 @@
 
     @property
     def success_count(self) -> int:
-        """Requests with a whole answer."""
+        """Number of requests that were answered successfully."""
         return sum(1 for sample in self.samples if sample.is_success)
 
     def count_reasons(self) -> Counter[str]:
-        """Count what was not answered, by reason."""
+        """Count failed requests by reason, or by outcome without a reason."""
         return Counter(
             sample.reason or sample.outcome
             for sample in self.samples
@@ -96,7 +98,7 @@
         )
 
     def summarise(self) -> dict[str, object]:
-        """Build a summary that can be printed as JSON."""
+        """Return a summary that can be serialised as JSON."""
         return {
             'requests': len(self.samples),
             'whole_answers': self.success_count,
@@ -106,27 +108,30 @@
         }
 
     def compute_quantile_ms(self, quantile: float) -> float:
-        """Return a quantile of the latency of whole answers."""
+        """Return a latency quantile of successful requests, 0 without any."""
         latencies = sorted(
             sample.latency_s for sample in self.samples if sample.is_success
         )
         if not latencies:
             return 0.0
-        place = min(len(latencies) - 1, int(len(latencies) * quantile))
-        return latencies[place] * _MS_PER_S
+        rank = min(len(latencies) - 1, int(len(latencies) * quantile))
+        return latencies[rank] * _MS_PER_S
 
 
 class LoadGenerator:
-    """Sends requests at Poisson times, to entry points in turn."""
+    """Sends requests as a Poisson process, whether or not answers arrive.
+
+    Requests go to the addresses round-robin, each retry to the next one.
+    """
 
     def __init__(
         self,
-        entries: Sequence[str],
-        source: random.Random,
+        addresses: Sequence[str],
+        rng: random.Random,
         pool: ConnectionPool | None = None,
     ) -> None:
-        self._entries = entries
-        self._source = source
+        self._addresses = addresses
+        self._rng = rng
         self._pool = pool or create_pool()
         self._samples: list[Sample] = []
         self._started_at = 0.0
@@ -136,7 +141,7 @@
     async def run(
         self, kinds: Sequence[LoadKind], duration_s: float
     ) -> LoadResult:
-        """Send all kinds for a time and wait for the answers."""
+        """Send requests of all kinds for a time and wait for the answers."""
         self._started_at = time.monotonic()
         await asyncio.gather(
             *(self._send_kind(kind, duration_s) for kind in kinds)
@@ -147,12 +152,12 @@
 
     async def _send_kind(self, kind: LoadKind, duration_s: float) -> None:
         loop = asyncio.get_running_loop()
-        due = self._started_at
+        due_at = self._started_at
         while kind.rate > 0:
-            due += self._source.expovariate(kind.rate)
-            if due > self._started_at + duration_s:
+            due_at += self._rng.expovariate(kind.rate)
+            if due_at > self._started_at + duration_s:
                 return
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
+            await asyncio.sleep(max(0.0, due_at - time.monotonic()))
             self._sent += 1
             task = loop.create_task(self._send(kind, self._sent))
             self._tasks.add(task)
@@ -167,23 +172,26 @@
         ]
         if kind.is_keyed:
             headers.append((IDEMPOTENCY_KEY_HEADER, self._create_key()))
-        sends = 0
+        attempts = 0
         answer: HttpResponse | TransportFailure
         while True:
-            sends += 1
-            entry = self._entries[(number + sends) % len(self._entries)]
+            attempts += 1
+            entry = self._addresses[(number + attempts) % len(self._addresses)]
             answer = await self._pool.exchange(
                 entry,
                 kind.method,
                 kind.target,
                 headers,
                 body,
-                timeout_s=kind.deadline_ms / _MS_PER_S + CLIENT_PATIENCE_S,
+                timeout_s=kind.deadline_ms / _MS_PER_S
+                + CLIENT_TIMEOUT_MARGIN_S,
+            )
+            is_success = _is_success(
+                answer, body, expects_echo=kind.expects_echo
             )
-            is_success = _is_whole(answer, body, is_echoed=kind.is_echoed)
-            if is_success or sends > kind.client_retries:
+            if is_success or attempts > kind.client_retries:
                 break
-        outcome, reason = _describe(answer)
+        outcome, reason = _read_outcome(answer)
         self._samples.append(
             Sample(
                 kind.name,
@@ -192,24 +200,24 @@
                 is_success,
                 outcome,
                 reason,
-                sends,
+                attempts,
             )
         )
 
     def _create_key(self) -> str:
-        return str(uuid.UUID(int=self._source.getrandbits(128), version=4))
+        return str(uuid.UUID(int=self._rng.getrandbits(128), version=4))
 
 
-def _is_whole(
-    answer: HttpResponse | TransportFailure, body: bytes, *, is_echoed: bool
+def _is_success(
+    answer: HttpResponse | TransportFailure, body: bytes, *, expects_echo: bool
 ) -> bool:
-    """Tell whether an answer is whole and belongs to the request."""
+    """Return whether an answer has status 200 and the expected body."""
     if isinstance(answer, TransportFailure) or answer.status != _OK:
         return False
-    return not is_echoed or body in answer.body
+    return not expects_echo or body in answer.body
 
 
-def _describe(answer: HttpResponse | TransportFailure) -> tuple[str, str]:
+def _read_outcome(answer: HttpResponse | TransportFailure) -> tuple[str, str]:
     if isinstance(answer, TransportFailure):
         return 'no-answer', answer.reason
     outcome = answer.find_header(OUTCOME_HEADER) or f'status {answer.status}'
