--- a/merlintrail/bench/_capacity.py
+++ b/merlintrail/bench/_capacity.py
@@ -175,7 +175,7 @@
 
 
 def _read_control_bytes(deployment: Deployment) -> dict[str, int]:
-    fleet = deployment.ask_admin('GET', '/v1/fleet')
+    fleet = deployment.request_admin_api('GET', '/v1/fleet')
     return {
         status['instance']: sum(status['control_bytes'].values())
         for status in fleet
@@ -195,7 +195,7 @@
 
 
 def _sees_any(deployment: Deployment, name: str, lost: set[str]) -> bool:
-    members = deployment.ask_admin('GET', '/v1/members', instance=name)
+    members = deployment.request_admin_api('GET', '/v1/members', instance=name)
     return any(
         member['node_id'] in lost and member['status'] == 'alive'
         for member in members
--- a/merlintrail/bench/_fault_soak.py
+++ b/merlintrail/bench/_fault_soak.py
@@ -23,7 +23,7 @@
 )
 from merlintrail.bench._soak_faults import SoakFaults, SoakTargets
 from merlintrail.lab.processes import Deployment, WorkerPlan
-from merlintrail.lab.relay import Relay
+from merlintrail.lab.relay import TcpRelay
 
 #: Seeds that ever showed a finding, by its cause; with 8 s of faults.
 FAILED_SEEDS: Final[Mapping[int, str]] = {
@@ -71,7 +71,7 @@
     return [deployment.folder / f'{name}.runs' for name in WORKERS]
 
 
-def _start_workers(deployment: Deployment, relays: Sequence[Relay]) -> None:
+def _start_workers(deployment: Deployment, relays: Sequence[TcpRelay]) -> None:
     """Start the workers, their peer addresses behind relays."""
     plans = [
         WorkerPlan(
@@ -86,17 +86,17 @@
         )
         for number, name in enumerate(WORKERS)
     ]
-    deployment.place_workers(plans)
+    deployment.allocate_addresses(plans)
     for relay, name in zip(relays, WORKERS, strict=True):
-        relay.target = deployment.hide_peer_address(name, relay.address)
+        relay.target = deployment.override_peer_address(name, relay.address)
         deployment.start_node(name)
     deployment.start_backends(plans)
     generation = deployment.apply_configuration(build_document(2))
     deployment.wait_until_ready(generation)
 
 
-async def _start_relays() -> list[Relay]:
-    relays = [Relay(direction) for direction in DIRECTIONS]
+async def _start_relays() -> list[TcpRelay]:
+    relays = [TcpRelay(direction) for direction in DIRECTIONS]
     for relay in relays:
         await relay.start()
     return relays
--- a/merlintrail/bench/_fleet.py
+++ b/merlintrail/bench/_fleet.py
@@ -54,7 +54,9 @@
 
 def _all_see(deployment: Deployment, name: str, status: str) -> bool:
     for instance in _sample(deployment, without=name):
-        members = deployment.ask_admin('GET', '/v1/members', instance=instance)
+        members = deployment.request_admin_api(
+            'GET', '/v1/members', instance=instance
+        )
         seen = [
             member['status'] for member in members if member['node_id'] == name
         ]
@@ -70,7 +72,7 @@
         victim = 'node-9'
         deployment.send_signal(f'node {victim}', signal.SIGKILL)
         left_s = _wait_until(lambda: not _any_sees_alive(deployment, victim))
-        deployment.wait_for_end(f'node {victim}')
+        deployment.wait_for_exit(f'node {victim}')
         time.sleep(3)
         deployment.start_node(victim)
         started_s = _wait_until(lambda: _is_up(deployment, victim))
@@ -84,7 +86,9 @@
 
 def _any_sees_alive(deployment: Deployment, name: str) -> bool:
     for instance in _sample(deployment, without=name):
-        members = deployment.ask_admin('GET', '/v1/members', instance=instance)
+        members = deployment.request_admin_api(
+            'GET', '/v1/members', instance=instance
+        )
         for member in members:
             if member['node_id'] == name and member['status'] == 'alive':
                 return True
@@ -93,14 +97,14 @@
 
 def _is_up(deployment: Deployment, name: str) -> bool:
     try:
-        deployment.ask_admin('GET', '/v1/status', instance=name)
+        deployment.request_admin_api('GET', '/v1/status', instance=name)
     except Exception:
         return False
     return True
 
 
 def _is_everywhere(deployment: Deployment, generation: int) -> bool:
-    fleet = deployment.ask_admin('GET', '/v1/fleet')
+    fleet = deployment.request_admin_api('GET', '/v1/fleet')
     return all(status.get('generation', 0) >= generation for status in fleet)
 
 
--- a/merlintrail/bench/_latency.py
+++ b/merlintrail/bench/_latency.py
@@ -267,7 +267,7 @@
 
 
 def _sum_control_bytes(deployment: Deployment) -> int:
-    fleet = deployment.ask_admin('GET', '/v1/fleet')
+    fleet = deployment.request_admin_api('GET', '/v1/fleet')
     return sum(
         status['control_bytes']['sent'] + status['control_bytes']['received']
         for status in fleet
--- a/merlintrail/bench/_outcomes.py
+++ b/merlintrail/bench/_outcomes.py
@@ -12,7 +12,7 @@
 from merlintrail.bench._figures import Benches, Figure, print_figure
 from merlintrail.bench._latency import build_document, start_deployment
 from merlintrail.lab.processes import Deployment, WorkerPlan
-from merlintrail.lab.relay import Relay
+from merlintrail.lab.relay import TcpRelay
 from merlintrail.load import LoadGenerator, LoadKind, LoadResult
 
 #: Requests a second while connections go silent.
@@ -156,7 +156,7 @@
     load = loop.create_task(generator.run(kinds, starts_in_s + 3))
     await asyncio.sleep(max(0.0, starts_at.timestamp() - time.time()))
     are_ended = all(
-        deployment.has_ended(f'node {name}') for name in ('echo-1', 'echo-3')
+        deployment.has_exited(f'node {name}') for name in ('echo-1', 'echo-3')
     )
     return await load, are_ended
 
@@ -175,7 +175,7 @@
     )
 
 
-async def _send_through_silence(relay: Relay) -> LoadResult:
+async def _send_through_silence(relay: TcpRelay) -> LoadResult:
     """Let every connection between two nodes go silent under load."""
     loop = asyncio.get_running_loop()
     await relay.start()
@@ -187,7 +187,7 @@
         kind = LoadKind('call', '/echo/call', SILENT_RATE, 1000)
         load = loop.create_task(generator.run([kind], BEFORE_S + AFTER_S))
         await asyncio.sleep(BEFORE_S)
-        relay.silence()
+        relay.drop_traffic()
         return await load
     finally:
         relay.stop()
@@ -197,7 +197,7 @@
 def bench_silent_connections(_: int) -> None:
     """Time until calls flow again when connections swallow bytes."""
     for direction in ('forward', 'backward', 'both'):
-        result = uvloop.run(_send_through_silence(Relay(direction)))
+        result = uvloop.run(_send_through_silence(TcpRelay(direction)))
         slow = [
             sample.latency_s
             for sample in result.samples
@@ -209,13 +209,13 @@
         print_figure(Figure(f'{prefix}_lost', lost, 'requests', 0))
 
 
-def _start_behind_relay(relay: Relay) -> Deployment:
+def _start_behind_relay(relay: TcpRelay) -> Deployment:
     """Start two nodes; the peer address of one leads through the relay."""
     echo = {'service': 'echo', 'slots': 64, 'service_ms': 5}
     deployment = start_deployment([WorkerPlan('entry', 'dc-0', None)], 2)
     plans = [WorkerPlan('far', 'dc-1', echo)]
-    deployment.place_workers(plans)
-    relay.target = deployment.hide_peer_address('far', relay.address)
+    deployment.allocate_addresses(plans)
+    relay.target = deployment.override_peer_address('far', relay.address)
     deployment.start_node('far')
     deployment.start_backends(plans)
     time.sleep(3)
--- a/merlintrail/bench/_rig.py
+++ b/merlintrail/bench/_rig.py
@@ -24,7 +24,7 @@
         """Start all processes."""
         plans = self._world.build_plans()
         if self._is_baseline:
-            self.deployment.place_workers(plans)
+            self.deployment.allocate_addresses(plans)
             self._start_forwarders()
             self.deployment.start_backends(plans)
             time.sleep(2)
@@ -58,7 +58,7 @@
             )
         return sum(
             _sum_metric(
-                self.deployment.ask_admin(
+                self.deployment.request_admin_api(
                     'GET', '/v1/metrics', instance=instance
                 ),
                 'merlintrail.retries',
--- a/merlintrail/bench/_soak_faults.py
+++ b/merlintrail/bench/_soak_faults.py
@@ -9,7 +9,7 @@
 
 from merlintrail.bench._soak_checks import STEADY_ENTRY
 from merlintrail.lab.processes import Deployment
-from merlintrail.lab.relay import Relay
+from merlintrail.lab.relay import TcpRelay
 
 #: Mean seconds between the beginnings of two faults.
 INTERVAL_S: Final = 0.7
@@ -46,7 +46,7 @@
     #: Instances that callers use.
     entries: Sequence[str]
     #: In front of the workers' peer addresses.
-    relays: Sequence[Relay]
+    relays: Sequence[TcpRelay]
 
 
 class SoakFaults:
@@ -149,7 +149,7 @@
         relay = self._targets.relays[int(subject.split()[1])]
         kind = self._source.choice(('silence', 'reset', 'delay'))
         if kind == 'silence':
-            relay.silence()
+            relay.drop_traffic()
         elif kind == 'reset':
             relay.reset()
         else:
@@ -158,5 +158,5 @@
             relay.delay_s = 0.0
 
     async def _wait_for_end(self, name: str) -> None:
-        while not self._targets.deployment.has_ended(name):
+        while not self._targets.deployment.has_exited(name):
             await asyncio.sleep(_POLL_S)
--- a/merlintrail/bench/soak.py
+++ b/merlintrail/bench/soak.py
@@ -79,7 +79,7 @@
     def _kill(self) -> None:
         name = self._choose()
         self._deployment.send_signal(f'node {name}', signal.SIGKILL)
-        self._deployment.wait_for_end(f'node {name}')
+        self._deployment.wait_for_exit(f'node {name}')
         self._deployment.start_node(name)
 
     def _pause(self) -> None:
@@ -119,7 +119,7 @@
     started_at = time.monotonic()
     expected = len(deployment.workers)
     while time.monotonic() - started_at < SETTLING_S:
-        fleet = deployment.ask_admin('GET', '/v1/fleet')
+        fleet = deployment.request_admin_api('GET', '/v1/fleet')
         views = {
             (
                 status.get('generation'),
--- a/merlintrail/lab/process_group.py
+++ b/merlintrail/lab/process_group.py
@@ -40,11 +40,11 @@
         """Send a signal to one process, by its name."""
         self._processes[name].send_signal(number)
 
-    def has_ended(self, name: str) -> bool:
+    def has_exited(self, name: str) -> bool:
         """Tell whether a process has ended."""
         return self._processes[name].poll() is not None
 
-    def wait_for_end(self, name: str) -> int:
+    def wait_for_exit(self, name: str) -> int:
         """Wait for a process to end and return its status."""
         return self._processes[name].wait(END_TIMEOUT_S)
 
--- a/merlintrail/lab/processes.py
+++ b/merlintrail/lab/processes.py
@@ -64,12 +64,12 @@
 
     def start_workers(self, plans: Sequence[WorkerPlan]) -> None:
         """Start nodes and their backend servers."""
-        self.place_workers(plans)
+        self.allocate_addresses(plans)
         for plan in plans:
             self.start_node(plan.instance)
         self.start_backends(plans)
 
-    def place_workers(self, plans: Sequence[WorkerPlan]) -> None:
+    def allocate_addresses(self, plans: Sequence[WorkerPlan]) -> None:
         """Give workers their addresses without starting them."""
         ports = iter(find_free_ports(4 * len(plans)))
         for plan in plans:
@@ -84,7 +84,7 @@
             if plan.backend is not None:
                 self.start_backend(plan.instance)
 
-    def hide_peer_address(self, instance: str, address: str) -> str:
+    def override_peer_address(self, instance: str, address: str) -> str:
         """Let a node be known to others by another peer address.
 
         :returns: the address that it listens on itself.
@@ -124,8 +124,8 @@
 
     def apply_configuration(self, document: Mapping[str, Any]) -> int:
         """Put a document in force over the administration API."""
-        seen = self.ask_admin('GET', '/v1/configuration')['generation']
-        answer = self.ask_admin(
+        seen = self.request_admin_api('GET', '/v1/configuration')['generation']
+        answer = self.request_admin_api(
             'POST',
             '/v1/configuration',
             {'document': document, 'seen_generation': seen},
@@ -133,7 +133,7 @@
         generation: int = answer['generation']
         return generation
 
-    def ask_admin(
+    def request_admin_api(
         self,
         method: str,
         path: str,
@@ -207,8 +207,12 @@
         self, instance: str, generation: int, members: int, backends: int
     ) -> bool:
         try:
-            status = self.ask_admin('GET', '/v1/status', instance=instance)
-            known = self.ask_admin('GET', '/v1/members', instance=instance)
+            status = self.request_admin_api(
+                'GET', '/v1/status', instance=instance
+            )
+            known = self.request_admin_api(
+                'GET', '/v1/members', instance=instance
+            )
         except (urllib3.exceptions.HTTPError, orjson.JSONDecodeError):
             return False
         ready = sum(
--- a/merlintrail/lab/relay.py
+++ b/merlintrail/lab/relay.py
@@ -13,7 +13,7 @@
 _CHUNK_BYTES: Final = 65536
 
 
-class Relay:
+class TcpRelay:
     """Relays connections to one target."""
 
     def __init__(self, direction: str) -> None:
@@ -42,7 +42,7 @@
         """Accept connections."""
         self._server = await asyncio.start_server(self._serve, HOST, self._port)
 
-    def silence(self) -> None:
+    def drop_traffic(self) -> None:
         """Let every open connection go silent for good."""
         self._generation += 1
 
--- a/merlintrail/lab/tests/test_outages.py
+++ b/merlintrail/lab/tests/test_outages.py
@@ -60,7 +60,7 @@
         """It gets configuration and members from its neighbours."""
         self.deployment.set_store_faults({'is_down': True})
         self.deployment.send_signal('node three', signal.SIGKILL)
-        self.deployment.wait_for_end('node three')
+        self.deployment.wait_for_exit('node three')
         self.deployment.start_node('three')
         self.wait_until(lambda: self.is_served('three'))
         keyed = self.http.request(
@@ -77,7 +77,7 @@
         self.deployment.set_store_faults({'is_down': True})
         for name in ('one', 'two', 'three'):
             self.deployment.send_signal(f'node {name}', signal.SIGKILL)
-            self.deployment.wait_for_end(f'node {name}')
+            self.deployment.wait_for_exit(f'node {name}')
         self.deployment.start_node('three')
         self.wait_until(lambda: self.call('three') is not None)
         answer = self.call('three')
@@ -95,7 +95,7 @@
         self.deployment.wait_until_ready(newest)
         self.deployment.set_store_faults({'is_stale': True})
         self.deployment.send_signal('node three', signal.SIGKILL)
-        self.deployment.wait_for_end('node three')
+        self.deployment.wait_for_exit('node three')
         self.deployment.start_node('three')
         self.deployment.wait_until_ready(newest)
 
@@ -107,4 +107,4 @@
         while time.monotonic() < deadline:
             statuses.add(self.call('three').status)
         self.assertEqual(statuses, {200})
-        self.assertEqual(self.deployment.wait_for_end('node one'), 0)
+        self.assertEqual(self.deployment.wait_for_exit('node one'), 0)
