--- a/merlintrail/lab/_ports.py
+++ b/merlintrail/lab/_ports.py
@@ -1,8 +1,8 @@
-"""Ports for processes that listen, and may be started again later.
+"""Allocation of ports for processes that may be restarted.
 
-A port that the system hands out for any connection can be another process's
-when a killed process is to listen on it again. Ports here lie below that
-range, and each process that starts others has blocks of them to itself.
+A port from the ephemeral range can be in use by another process by the time
+that a killed process is to listen on it again. Ports are therefore allocated
+below that range, and each process that starts others reserves blocks of them.
 """
 
 import contextlib
@@ -12,47 +12,54 @@
 from collections.abc import Iterator
 from typing import Final
 
-#: Address of every process of a deployment.
+#: Address on which every process of a deployment listens.
 HOST: Final = '127.0.0.1'
-#: First and last port of the blocks; systems hand out ports from 32768 on.
+#: First and last port of all blocks; systems assign ephemeral ports from 32768
+#: on.
 FIRST_PORT: Final = 12000
 LAST_PORT: Final = 31999
-#: Ports of one block; the first is held as long as the block is.
+#: Ports of one block. The first is not allocated but kept bound by the
+#: process that reserved the block.
 BLOCK_PORTS: Final = 400
 
 
 class PortsExhausted(OSError):
-    """Every block belongs to another process."""
+    """Raised when no block of ports is left to reserve."""
 
 
 class _PortBlocks:
-    """Blocks of ports that this process holds."""
+    """Blocks of ports that are reserved by this process."""
 
     def __init__(self) -> None:
-        self._claims: list[socket.socket] = []
+        #: Sockets bound to the first port of each reserved block, which keep
+        #: other processes from reserving it.
+        self._block_locks: list[socket.socket] = []
+        #: Ports of the newest block that are not allocated yet.
         self._ports: Iterator[int] = iter(())
 
-    def take(self) -> int:
-        """Return a port that is free now.
+    def allocate_port(self) -> int:
+        """Return a port that is free at present.
 
-        :raises PortsExhausted: when no block is left.
+        :raises PortsExhausted: when no block is left to reserve.
         """
         for port in itertools.chain(self._ports, self._claim_blocks()):
             if _is_free(port):
                 return port
-        raise PortsExhausted(errno.EADDRINUSE, 'no ports for processes left')
+        raise PortsExhausted(
+            errno.EADDRINUSE, 'no free port is left in any block'
+        )
 
     def _claim_blocks(self) -> Iterator[int]:
-        """Claim blocks, one after the other, and return their ports."""
-        for first in range(FIRST_PORT, LAST_PORT, BLOCK_PORTS):
-            claim = socket.socket()
+        """Reserve one block after the other and yield their ports."""
+        for first_port in range(FIRST_PORT, LAST_PORT, BLOCK_PORTS):
+            block_lock = socket.socket()
             try:
-                claim.bind((HOST, first))
+                block_lock.bind((HOST, first_port))
             except OSError:
-                claim.close()
+                block_lock.close()
                 continue
-            self._claims.append(claim)
-            self._ports = iter(range(first + 1, first + BLOCK_PORTS))
+            self._block_locks.append(block_lock)
+            self._ports = iter(range(first_port + 1, first_port + BLOCK_PORTS))
             yield from self._ports
 
 
@@ -69,8 +76,10 @@
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return ports that no other process that uses this module takes.
+    """Return free ports that no other user of this module allocates.
 
-    :raises PortsExhausted: when none are left.
+    They stay reserved until this process exits.
+
+    :raises PortsExhausted: when no block is left to reserve.
     """
-    return [_BLOCKS.take() for _ in range(count)]
+    return [_BLOCKS.allocate_port() for _ in range(count)]
--- a/merlintrail/lab/_store_state.py
+++ b/merlintrail/lab/_store_state.py
@@ -1,26 +1,27 @@
-"""State of the store stand-in: keys, versions, leases, faults, counts."""
+"""State of the fake store: keys, versions, leases, faults and counts."""
 
 import asyncio
 from collections import Counter, deque
 from collections.abc import Callable, Mapping
 from typing import Any, Final, NamedTuple
 
-#: Bytes of the largest value.
+#: Size limit of a value in bytes.
 MAX_VALUE_BYTES: Final = 1048576
-#: Changes that can be told to a watch.
+#: Number of changes that are kept for watches.
 MAX_HISTORY: Final = 1024
 
 
-class StoredKey(NamedTuple):
-    """A key with its version."""
+class StoredEntry(NamedTuple):
+    """A stored document with its version and its lease."""
 
     document: Any
     version: int
+    #: Lease with which the key is removed, ``None`` for a permanent key.
     lease: str | None
 
 
 class StoredChange(NamedTuple):
-    """A change of a key; the document of a removed one is ``None``."""
+    """A change of a key; the document of a removed key is ``None``."""
 
     key: str
     document: Any
@@ -28,52 +29,59 @@
 
 
 class Faults(NamedTuple):
-    """Faults that a script has switched on."""
+    """Faults of the store that are switched on."""
 
-    #: Every call is refused before it does anything.
+    #: Every request is refused with status 503 and has no effect.
     is_down: bool = False
-    #: Every call is refused as one too many.
+    #: Every request is refused with status 429, as when a rate limit is
+    #: exceeded, and has no effect.
     is_busy: bool = False
-    #: Writes take effect and their answers are lost.
+    #: Writes take effect, but the connection is closed without an answer.
     loses_write_answers: bool = False
-    #: Share of calls to which the loss applies.
+    #: Share of writes whose answers are lost.
     share: float = 1.0
-    #: Seconds after which a write whose answer was lost takes effect.
+    #: Seconds after which a write whose answer is lost takes effect.
     late_s: float = 0.0
-    #: Seconds added to each call.
+    #: Seconds by which each request is delayed.
     delay_s: float = 0.0
-    #: Reads of a key return the document of an earlier version.
+    #: Reads of a key return the value that was replaced last, where there is
+    #: one. Ranges and watches are not affected.
     is_stale: bool = False
 
 
 class StoreState:
-    """Keys with compare-and-swap, and leases that expire."""
+    """Key-value store with compare-and-swap, leases and a change history."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._keys: dict[str, StoredKey] = {}
-        self._earlier: dict[str, StoredKey] = {}
+        self._keys: dict[str, StoredEntry] = {}
+        #: Value of each key that was replaced last, for stale reads.
+        self._previous: dict[str, StoredEntry] = {}
+        #: Duration and expiry time of each lease in seconds.
         self._leases: dict[str, tuple[float, float]] = {}
         self._history: deque[StoredChange] = deque(maxlen=MAX_HISTORY)
-        #: Version behind which every change is in the history.
+        #: Every change with a version above this one is in the history.
         self._history_start = 1
         self._changed = asyncio.Condition()
-        self._telling: set[asyncio.Task[None]] = set()
-        #: Version of the last change; the first is 2.
+        #: Running notifications, kept referenced until they are done.
+        self._notify_tasks: set[asyncio.Task[None]] = set()
+        #: Version of the store, raised by each transaction, each removal of a
+        #: key with its lease, each new lease and each clearing of the history.
+        #: The first raise makes it 2.
         self.version = 1
         self.faults = Faults()
-        #: Calls by kind.
+        #: Number of requests by kind.
         self.counts: Counter[str] = Counter()
 
-    def read(self, key: str) -> StoredKey | None:
-        """Return a key, or an earlier form of it when reads are stale."""
+    def read(self, key: str) -> StoredEntry | None:
+        """Return the value of a key, the previous one when reads are stale."""
         self._expire_leases()
-        if self.faults.is_stale and key in self._earlier:
-            return self._earlier[key]
+        if self.faults.is_stale and key in self._previous:
+            return self._previous[key]
         return self._keys.get(key)
 
-    def list_keys(self, prefix: str, after: str) -> Mapping[str, StoredKey]:
-        """Return the keys under a prefix that come after a key, in order."""
+    def list_keys(self, prefix: str, after: str) -> Mapping[str, StoredEntry]:
+        """Return the keys with a prefix that sort after a key, in order."""
         self._expire_leases()
         return {
             key: self._keys[key]
@@ -88,9 +96,12 @@
         removals: tuple[str, ...],
         lease: str | None,
     ) -> int | None:
-        """Change keys if all versions are as expected.
+        """Change keys if all of them have the expected versions.
 
-        :returns: the new version, ``None`` when nothing was done.
+        :param expected: version of each key; 0 for a key that must not
+            exist.
+        :returns: the new version, ``None`` when a version differs and
+            nothing was changed.
         """
         self._expire_leases()
         for key, version in expected.items():
@@ -99,20 +110,22 @@
         self.version += 1
         for key, document in puts.items():
             if key in self._keys:
-                self._earlier[key] = self._keys[key]
-            self._keys[key] = StoredKey(document, self.version, lease)
+                self._previous[key] = self._keys[key]
+            self._keys[key] = StoredEntry(document, self.version, lease)
             self._record(key, document)
         for key in removals:
             self._remove(key)
-        self._tell_watches()
+        self._notify_watches()
         return self.version
 
     async def wait(
         self, prefix: str, position: int, timeout_s: float
     ) -> list[StoredChange] | None:
-        """Wait for changes under a prefix behind a position.
+        """Wait for changes of keys with a prefix after a version.
 
-        :returns: ``None`` when the history does not reach back so far.
+        :param position: the version after which changes are returned.
+        :returns: the changes, empty after the timeout; ``None`` when the
+            history does not reach back to the position.
         """
 
         def find_changes() -> list[StoredChange]:
@@ -134,45 +147,45 @@
         return None if position < self._history_start else find_changes()
 
     def drop_history(self) -> None:
-        """Forget every change so far."""
+        """Clear the history; watches from earlier positions fail after that."""
         self._history.clear()
         self.version += 1
         self._history_start = self.version
-        self._tell_watches()
+        self._notify_watches()
 
     def grant_lease(self, duration_s: float) -> str:
-        """Create a lease."""
+        """Create a lease and return its identifier."""
         self.version += 1
         lease = f'lease-{self.version}'
         self._leases[lease] = (duration_s, self._clock() + duration_s)
         return lease
 
     def renew_lease(self, lease: str) -> bool:
-        """Renew a lease; return False when it has expired."""
+        """Renew a lease; return ``False`` when it has expired or is unknown."""
         self._expire_leases()
-        known = self._leases.get(lease)
-        if known is None:
+        entry = self._leases.get(lease)
+        if entry is None:
             return False
-        self._leases[lease] = (known[0], self._clock() + known[0])
+        self._leases[lease] = (entry[0], self._clock() + entry[0])
         return True
 
     def has_lease(self, lease: str) -> bool:
-        """Tell whether a lease has not expired."""
+        """Return whether a lease exists and has not expired."""
         self._expire_leases()
         return lease in self._leases
 
     def revoke_lease(self, lease: str) -> None:
-        """End a lease and remove its keys."""
+        """Remove a lease and the keys that are bound to it."""
         self._leases.pop(lease, None)
-        for key, known in tuple(self._keys.items()):
-            if known.lease == lease:
+        for key, entry in tuple(self._keys.items()):
+            if entry.lease == lease:
                 self.version += 1
                 self._remove(key)
-        self._tell_watches()
+        self._notify_watches()
 
     def _read_version(self, key: str) -> int:
-        known = self._keys.get(key)
-        return 0 if known is None else known.version
+        entry = self._keys.get(key)
+        return 0 if entry is None else entry.version
 
     def _remove(self, key: str) -> None:
         if self._keys.pop(key, None) is not None:
@@ -189,10 +202,10 @@
             if expires_at <= now:
                 self.revoke_lease(lease)
 
-    def _tell_watches(self) -> None:
+    def _notify_watches(self) -> None:
         task = asyncio.ensure_future(self._notify())
-        self._telling.add(task)
-        task.add_done_callback(self._telling.discard)
+        self._notify_tasks.add(task)
+        task.add_done_callback(self._notify_tasks.discard)
 
     async def _notify(self) -> None:
         async with self._changed:
--- a/merlintrail/lab/backend.py
+++ b/merlintrail/lab/backend.py
@@ -1,4 +1,4 @@
-"""Stand-in for a backend server.
+"""Fake backend server for local deployments.
 
 Run it with ``python -m merlintrail.lab.backend --plan=JSON``.
 """
@@ -30,70 +30,81 @@
     start_server,
 )
 
-_PLAN: Final = flags.DEFINE_string('plan', '{}', 'Plan of the stand-in.')
-#: Seconds between announcements.
-RENEWAL_S: Final = 1.0
-#: Calls that may wait for a slot before the stand-in sheds.
-QUEUE_PER_SLOT: Final = 2.0
-#: Header whose text is written to the log of runs.
+_PLAN: Final = flags.DEFINE_string(
+    'plan', '{}', 'JSON object with the fields of BackendPlan.'
+)
+#: Seconds between announcements to the node.
+ANNOUNCE_INTERVAL_S: Final = 1.0
+#: Requests in progress per slot, including those that wait for a slot, beyond
+#: which further ones are refused.
+MAX_PENDING_PER_SLOT: Final = 2.0
+#: Header whose value is appended to the run log, see
+#: :attr:`BackendPlan.run_log`.
 RUN_LABEL_HEADER: Final = 'x-run-label'
-#: A request whose body holds this ends the process.
-CRASH_MARK: Final = b'crash-the-backend-server'
+#: A request whose body contains this text makes the process exit at once.
+CRASH_MARKER: Final = b'crash-the-backend-server'
 _OK: Final = 200
 _MS_PER_S: Final = 1000
 
 
 class BackendPlan(NamedTuple):
-    """What a stand-in does."""
+    """Configuration of a fake backend server."""
 
     service: str
     #: ``host:port`` to listen on.
     address: str
-    #: ``host:port`` of the node beside it.
+    #: ``host:port`` of the node beside it, for announcements and nested
+    #: calls.
     node_address: str
+    #: Number of slots, also announced to the node.
     slots: int = 8
-    #: Mean service time in milliseconds.
+    #: Mean service time in milliseconds, nested calls excluded.
     service_ms: float = 10.0
-    #: ``/SERVICE/PATH`` of each call made for a request, in order.
+    #: ``/SERVICE/PATH`` of each nested call made for a request, in order.
     children: Sequence[str] = ()
-    #: Whether the stand-in queues and sheds by itself.
+    #: Whether no more requests than slots run at once. Requests beyond
+    #: ``MAX_PENDING_PER_SLOT`` are refused in either case.
     enforces_slots: bool = True
-    #: Path at which the health endpoint answers.
+    #: Path of the health endpoint.
     health_path: str = '/health'
-    #: File to which the label of each run is appended, which outlives the
-    #: process; empty for none.
+    #: File to which the ``RUN_LABEL_HEADER`` of each request that starts to
+    #: run is appended, so that the labels survive a crash of the process;
+    #: empty for none.
     run_log: str = ''
 
 
-class Backend:
-    """One backend server with slots, service times and calls below."""
+class FakeBackendServer:
+    """Backend server with slots, random service times and nested calls."""
 
-    def __init__(self, plan: BackendPlan, source: random.Random) -> None:
+    def __init__(self, plan: BackendPlan, rng: random.Random) -> None:
         self.plan = plan
-        self._source = source
+        self._rng = rng
         self._pool: ConnectionPool = create_pool()
         self._slots = asyncio.Semaphore(plan.slots)
-        self._waiting = 0
-        #: Factor on service times, set through the control path.
+        #: Requests that run or wait for a slot.
+        self._pending = 0
+        #: Factor on service times, set through the control endpoint.
         self.slowdown = 1.0
-        #: Whether the health endpoint tells the truth.
+        #: Status with which the health endpoint responds.
         self.health_status = _OK
+        #: Readiness that is announced to the node.
         self.is_ready = True
-        #: Requests begun, finished and cancelled.
+        #: Requests by event: ``shed``, ``begun``, ``finished``, ``failed``,
+        #: ``cancelled``.
         self.counts: Counter[str] = Counter()
-        #: Times that each idempotency key was run.
+        #: Number of executions of each idempotency key.
         self.executions: Counter[str] = Counter()
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Serve one request."""
+        """Serve a request, a health check or a control request."""
         if request.target == self.plan.health_path:
             return HttpResponse(self.health_status, (), b'')
         if request.target.startswith('/-/'):
             return self._handle_control(request)
-        if self._waiting >= self.plan.slots * QUEUE_PER_SLOT:
+        if self._pending >= self.plan.slots * MAX_PENDING_PER_SLOT:
             self.counts['shed'] += 1
             return HttpResponse(503, ((OUTCOME_HEADER, 'not-run'),), b'')
-        self._waiting += 1
+        self._pending += 1
         try:
             if not self.plan.enforces_slots:
                 return await self._run(request)
@@ -103,16 +114,16 @@
             self.counts['cancelled'] += 1
             raise
         finally:
-            self._waiting -= 1
+            self._pending -= 1
 
     async def announce(self) -> None:
-        """Announce this backend server to its node, for ever."""
+        """Announce this backend server to its node periodically."""
         while True:
             await self.announce_once()
-            await asyncio.sleep(RENEWAL_S)
+            await asyncio.sleep(ANNOUNCE_INTERVAL_S)
 
     async def announce_once(self) -> None:
-        """Announce this backend server to its node."""
+        """Announce this backend server to its node once."""
         await self._pool.exchange(
             self.plan.node_address,
             'POST',
@@ -124,7 +135,7 @@
                     'address': self.plan.address,
                     'slots': self.plan.slots,
                     'is_ready': self.is_ready,
-                    'ttl_s': RENEWAL_S * 4,
+                    'ttl_s': ANNOUNCE_INTERVAL_S * 4,
                     'health_path': self.plan.health_path,
                 }
             ),
@@ -137,12 +148,12 @@
         key = request.headers.get(IDEMPOTENCY_KEY_HEADER)
         if key is not None:
             self.executions[key] += 1
-        if CRASH_MARK in request.body:
+        if CRASH_MARKER in request.body:
             os._exit(1)
         mean_s = self.plan.service_ms / _MS_PER_S * self.slowdown
-        await asyncio.sleep(mean_s * self._source.uniform(0.5, 1.5))
-        for child in self.plan.children:
-            answer = await self._call(request, child)
+        await asyncio.sleep(mean_s * self._rng.uniform(0.5, 1.5))
+        for nested_target in self.plan.children:
+            answer = await self._send_nested_call(request, nested_target)
             if answer is None or answer.status != _OK:
                 self.counts['failed'] += 1
                 return HttpResponse(502, (), b'{"error":"call below failed"}')
@@ -162,7 +173,7 @@
             with Path(self.plan.run_log).open('a', encoding='utf-8') as log:
                 log.write(f'{label}\n')
 
-    async def _call(
+    async def _send_nested_call(
         self, request: HttpRequest, target: str
     ) -> HttpResponse | None:
         headers = [('host', self.plan.node_address)]
@@ -187,15 +198,15 @@
         return HttpResponse(_OK, (), encode_json(body))
 
 
-async def start_backend(backend: Backend) -> HttpServer:
-    """Start a stand-in; it announces itself from now on."""
+async def start_backend(backend: FakeBackendServer) -> HttpServer:
+    """Start listening; announcements are left to :meth:`announce`."""
     host, _, port = backend.plan.address.rpartition(':')
     server = await start_server(backend.handle, host, int(port))
     return server
 
 
 async def _serve_forever(plan: BackendPlan) -> None:
-    backend = Backend(plan, random.Random(plan.address))
+    backend = FakeBackendServer(plan, random.Random(plan.address))
     await start_backend(backend)
     await backend.announce()
 
--- a/merlintrail/lab/example.py
+++ b/merlintrail/lab/example.py
@@ -1,4 +1,4 @@
-"""The small deployment of ``make run``: document and workers."""
+"""Configuration and workers of the example deployment of ``make run``."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -7,7 +7,7 @@
 
 
 def build_document() -> Mapping[str, Any]:
-    """Build the configuration of the small deployment."""
+    """Build the configuration document of the example deployment."""
 
     def describe_kind(
         name: str, importance: str, deadline_ms: int, *, idempotent: bool
@@ -46,16 +46,16 @@
 
 
 def build_plans() -> Sequence[WorkerPlan]:
-    """Build the workers of the small deployment."""
-    advisor = {
+    """Build the workers of the example deployment."""
+    advisor_backend = {
         'service': 'fitadvisor',
         'slots': 25,
         'children': ['/chartdesk/charts'],
     }
-    desk = {'service': 'chartdesk', 'slots': 25, 'service_ms': 5}
+    desk_backend = {'service': 'chartdesk', 'slots': 25, 'service_ms': 5}
     return [
-        WorkerPlan('fitadvisor-1', 'marmara-1', advisor),
-        WorkerPlan('fitadvisor-2', 'marmara-2', advisor),
-        WorkerPlan('chartdesk-1', 'marmara-1', desk),
-        WorkerPlan('chartdesk-2', 'marmara-2', desk),
+        WorkerPlan('fitadvisor-1', 'marmara-1', advisor_backend),
+        WorkerPlan('fitadvisor-2', 'marmara-2', advisor_backend),
+        WorkerPlan('chartdesk-1', 'marmara-1', desk_backend),
+        WorkerPlan('chartdesk-2', 'marmara-2', desk_backend),
     ]
--- a/merlintrail/lab/process_group.py
+++ b/merlintrail/lab/process_group.py
@@ -1,4 +1,4 @@
-"""Processes that are started, signalled and ended together."""
+"""Group of child processes that are stopped together."""
 
 import os
 import shutil
@@ -9,12 +9,12 @@
 from pathlib import Path
 from typing import Final
 
-#: Seconds to wait for a process to end.
-END_TIMEOUT_S: Final = 10.0
+#: Seconds to wait for a process to exit.
+EXIT_TIMEOUT_S: Final = 10.0
 
 
 class ProcessGroup:
-    """Python processes by name, with a folder for their files."""
+    """Python processes by name, with a temporary folder for their files."""
 
     def __init__(self) -> None:
         self._folder = Path(tempfile.mkdtemp(prefix='merlintrail-'))
@@ -22,11 +22,15 @@
 
     @property
     def folder(self) -> Path:
-        """Where settings and logs lie."""
+        """Folder for settings and logs, removed by :meth:`stop`."""
         return self._folder
 
     def start_process(self, name: str, *arguments: str) -> None:
-        """Start a Python process with its errors in a file."""
+        """Start a Python process whose output is appended to a file.
+
+        A process that is started under the name of an earlier one replaces
+        it in the group.
+        """
         log_path = self._folder / f'{name.replace(" ", "-")}.err'
         with log_path.open('ab') as log:
             self._processes[name] = subprocess.Popen(
@@ -36,28 +40,28 @@
                 env={**os.environ, 'PYTHONUNBUFFERED': '1'},
             )
 
-    def send_signal(self, name: str, number: int) -> None:
-        """Send a signal to one process, by its name."""
-        self._processes[name].send_signal(number)
+    def send_signal(self, name: str, signal_number: int) -> None:
+        """Send a signal to a process."""
+        self._processes[name].send_signal(signal_number)
 
     def has_exited(self, name: str) -> bool:
-        """Tell whether a process has ended."""
+        """Return whether a process has exited."""
         return self._processes[name].poll() is not None
 
     def wait_for_exit(self, name: str) -> int:
-        """Wait for a process to end and return its status."""
-        return self._processes[name].wait(END_TIMEOUT_S)
+        """Wait for a process to exit and return its exit status."""
+        return self._processes[name].wait(EXIT_TIMEOUT_S)
 
     def read_process_id(self, name: str) -> int:
-        """Return the identifier of a process."""
+        """Return the operating system's identifier of a process."""
         return self._processes[name].pid
 
     def stop(self) -> None:
-        """End every process that was started here, and remove its files."""
+        """Kill every process of the group and remove its folder."""
         for process in self._processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.send_signal(signal.SIGKILL)
         for process in self._processes.values():
-            process.wait(END_TIMEOUT_S)
+            process.wait(EXIT_TIMEOUT_S)
         shutil.rmtree(self._folder, ignore_errors=True)
--- a/merlintrail/lab/processes.py
+++ b/merlintrail/lab/processes.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes on one machine."""
+"""Deployments of real processes on one machine."""
 
 import time
 from collections.abc import Mapping, Sequence
@@ -10,10 +10,11 @@
 from merlintrail.lab._ports import HOST, find_free_ports
 from merlintrail.lab.process_group import ProcessGroup
 
-#: Key of the operator in deployments of the lab.
+#: Key of the operator in every deployment.
 OPERATOR_KEY: Final = 'lab-operator-key'
+#: Key that the nodes of a deployment share.
 FLEET_KEY: Final = 'lab-fleet-key'
-#: Seconds to wait for a deployment to be ready.
+#: Seconds to wait for a process to respond or for a deployment to be ready.
 READY_TIMEOUT_S: Final = 30.0
 _POLL_S: Final = 0.05
 _OK: Final = 200
@@ -21,7 +22,7 @@
 
 
 class Worker(NamedTuple):
-    """A node and the backend server beside it."""
+    """Addresses of one node and of the backend server beside it."""
 
     instance: str
     data_centre: str
@@ -32,45 +33,50 @@
 
 
 class WorkerPlan(NamedTuple):
-    """What one worker runs."""
+    """Configuration of one worker: a node and its backend server."""
 
     instance: str
     data_centre: str
-    #: Members of :class:`BackendPlan`, without addresses; ``None`` for a
-    #: node without a backend server.
+    #: Fields of :class:`~merlintrail.lab.backend.BackendPlan` without the
+    #: addresses; ``None`` for a node without a backend server.
     backend: Mapping[str, Any] | None
 
 
 class Deployment(ProcessGroup):
-    """Starts, controls and ends the processes."""
+    """Store, nodes and backend servers of one deployment."""
 
     def __init__(self, *, log_level: str = 'info') -> None:
         super().__init__()
         self._log_level = log_level
         self._http = urllib3.PoolManager(retries=False, timeout=5.0)
         self._plans: dict[str, WorkerPlan] = {}
-        self._listening: dict[str, str] = {}
+        #: Peer addresses that nodes listen on, by instance, where they
+        #: differ from the advertised ones.
+        self._listen_addresses: dict[str, str] = {}
         #: Workers by instance.
         self.workers: dict[str, Worker] = {}
         self.store_address = f'{HOST}:{find_free_ports(1)[0]}'
 
     def start_store(self) -> None:
-        """Start the store stand-in."""
+        """Start the fake store and wait until it responds.
+
+        :raises TimeoutError: when that takes too long.
+        """
         port = self.store_address.rpartition(':')[2]
         self.start_process(
             'store', '-m', 'merlintrail.lab.store', f'--port={port}'
         )
-        self._wait_for(f'http://{self.store_address}/v1/counts')
+        self._wait_for_status(f'http://{self.store_address}/v1/counts')
 
     def start_workers(self, plans: Sequence[WorkerPlan]) -> None:
-        """Start nodes and their backend servers."""
+        """Allocate addresses, then start nodes and their backend servers."""
         self.allocate_addresses(plans)
         for plan in plans:
             self.start_node(plan.instance)
         self.start_backends(plans)
 
     def allocate_addresses(self, plans: Sequence[WorkerPlan]) -> None:
-        """Give workers their addresses without starting them."""
+        """Allocate the addresses of workers without starting them."""
         ports = iter(find_free_ports(4 * len(plans)))
         for plan in plans:
             addresses = [f'{HOST}:{next(ports)}' for _ in range(4)]
@@ -79,23 +85,25 @@
             self._plans[plan.instance] = plan
 
     def start_backends(self, plans: Sequence[WorkerPlan]) -> None:
-        """Start the backend servers of workers that are placed."""
+        """Start the backend servers of workers that have addresses."""
         for plan in plans:
             if plan.backend is not None:
                 self.start_backend(plan.instance)
 
     def override_peer_address(self, instance: str, address: str) -> str:
-        """Let a node be known to others by another peer address.
+        """Advertise another peer address of a node, such as that of a relay.
+
+        It takes effect when the node is started.
 
-        :returns: the address that it listens on itself.
+        :returns: the peer address that the node still listens on.
         """
         worker = self.workers[instance]
-        self._listening[instance] = worker.peer_address
+        self._listen_addresses[instance] = worker.peer_address
         self.workers[instance] = worker._replace(peer_address=address)
         return worker.peer_address
 
     def start_node(self, instance: str) -> None:
-        """Start, or start again, the node of a worker."""
+        """Start or restart the node of a worker."""
         worker = self.workers[instance]
         path = self.folder / f'{instance}.json'
         path.write_bytes(orjson.dumps(self._build_settings(worker)))
@@ -107,7 +115,7 @@
         )
 
     def start_backend(self, instance: str) -> None:
-        """Start, or start again, the backend server of a worker."""
+        """Start or restart the backend server of a worker."""
         worker = self.workers[instance]
         plan = self._plans[instance].backend or {}
         document = {
@@ -123,7 +131,10 @@
         )
 
     def apply_configuration(self, document: Mapping[str, Any]) -> int:
-        """Put a document in force over the administration API."""
+        """Apply a configuration over the administration API.
+
+        :returns: the generation of the configuration.
+        """
         seen = self.request_admin_api('GET', '/v1/configuration')['generation']
         answer = self.request_admin_api(
             'POST',
@@ -140,7 +151,11 @@
         document: object = None,
         instance: str | None = None,
     ) -> Any:
-        """Ask a node's administration API."""
+        """Send a request to the administration API of a node.
+
+        :param instance: the instance of the node; ``None`` for the first.
+        :returns: the decoded JSON document of the response.
+        """
         worker = self.workers[instance or next(iter(self.workers))]
         answer = self._http.request(
             method,
@@ -153,7 +168,12 @@
     def control_backend(
         self, instance: str, change: Mapping[str, Any] | None = None
     ) -> Any:
-        """Change a backend server stand-in, or read its counts."""
+        """Change the behaviour of a fake backend server, or read its counts.
+
+        :param change: new values of the fields to change; ``None`` to
+            change nothing.
+        :returns: the counts and executions of the backend server.
+        """
         address = self.workers[instance].backend_address
         answer = self._http.request(
             'GET' if change is None else 'POST',
@@ -163,7 +183,10 @@
         return orjson.loads(answer.data)
 
     def set_store_faults(self, faults: Mapping[str, Any]) -> None:
-        """Switch faults of the store on or off."""
+        """Replace the active faults of the store.
+
+        :param faults: fields of ``Faults``; those left out are switched off.
+        """
         self._http.request(
             'POST',
             f'http://{self.store_address}/v1/faults',
@@ -171,7 +194,7 @@
         )
 
     def read_store_counts(self) -> Mapping[str, int]:
-        """Return the store's calls by kind."""
+        """Return the number of requests to the store by kind."""
         answer = self._http.request(
             'GET', f'http://{self.store_address}/v1/counts'
         )
@@ -179,16 +202,21 @@
         return counts
 
     def wait_until_listening(self) -> None:
-        """Wait until the first node answers operators.
+        """Wait until the administration API of the first node responds.
 
         :raises TimeoutError: when that takes too long.
         """
         worker = next(iter(self.workers.values()))
-        self._wait_for(f'http://{worker.admin_address}/', _UNAUTHORIZED)
+        self._wait_for_status(f'http://{worker.admin_address}/', _UNAUTHORIZED)
 
     def wait_until_ready(self, generation: int) -> None:
-        """Wait until every node knows everything.
+        """Wait until every node has received the initial state.
+
+        Each node must have the configuration, list every node as a member
+        and list as many ready backend servers of live members as there are.
 
+        :param generation: the oldest generation of the configuration that
+            is accepted.
         :raises TimeoutError: when that takes too long.
         """
         expected = len(self.workers)
@@ -210,14 +238,14 @@
             status = self.request_admin_api(
                 'GET', '/v1/status', instance=instance
             )
-            known = self.request_admin_api(
+            listed_members = self.request_admin_api(
                 'GET', '/v1/members', instance=instance
             )
         except (urllib3.exceptions.HTTPError, orjson.JSONDecodeError):
             return False
         ready = sum(
             1
-            for member in known
+            for member in listed_members
             for offer in member['offers']
             if offer['is_ready'] and member['status'] == 'alive'
         )
@@ -227,7 +255,7 @@
             and ready >= backends
         )
 
-    def _wait_for(self, url: str, status: int = _OK) -> None:
+    def _wait_for_status(self, url: str, status: int = _OK) -> None:
         deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             try:
@@ -238,10 +266,14 @@
         raise TimeoutError(url)
 
     def _build_settings(self, worker: Worker) -> Mapping[str, Any]:
-        listening = self._listening.get(worker.instance)
-        hidden = {} if listening is None else {'peer_listen_address': listening}
+        listen_address = self._listen_addresses.get(worker.instance)
+        override = (
+            {}
+            if listen_address is None
+            else {'peer_listen_address': listen_address}
+        )
         return {
-            **hidden,
+            **override,
             'instance': worker.instance,
             'data_centre': worker.data_centre,
             'call_address': worker.call_address,
--- a/merlintrail/lab/relay.py
+++ b/merlintrail/lab/relay.py
@@ -1,8 +1,8 @@
-"""A TCP relay with faults, for tests and benches.
+"""TCP relay that injects network faults, for tests and benchmarks.
 
-Connections can be delayed, reset or go silent. A silent one still
-acknowledges what it receives and delivers none of it. Connections opened
-later work.
+It can delay, reset or drop the traffic of its connections. When traffic is
+dropped, the relay still reads it, so the sender sees it acknowledged by TCP,
+but forwards nothing. Connections opened after that are not affected.
 """
 
 import asyncio
@@ -10,40 +10,46 @@
 
 from merlintrail.lab._ports import HOST, find_free_ports
 
+#: Largest number of bytes that are forwarded at once.
 _CHUNK_BYTES: Final = 65536
 
 
 class TcpRelay:
-    """Relays connections to one target."""
+    """Forwards TCP connections to one target and injects faults."""
 
     def __init__(self, direction: str) -> None:
-        """Create a relay.
+        """Create a relay on a free port.
 
-        :param direction: which bytes a silent connection swallows:
-            ``forward``, ``backward`` or ``both``.
+        :param direction: the traffic that :meth:`drop_traffic` drops:
+            ``forward`` (to the target), ``backward`` or ``both``.
         """
         self._direction = direction
         self._port = find_free_ports(1)[0]
+        #: Number of calls of :meth:`drop_traffic`; connections that were
+        #: opened before the last one drop their traffic.
         self._generation = 0
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: set[asyncio.StreamWriter] = set()
-        #: ``host:port`` that connections lead to.
+        #: ``host:port`` to which connections are forwarded.
         self.target = ''
-        #: Seconds by which what is relayed is held back.
+        #: Seconds by which each chunk is delayed before it is forwarded.
         self.delay_s = 0.0
 
     @property
     def address(self) -> str:
-        """``host:port`` to connect to."""
+        """``host:port`` on which the relay listens."""
         return f'{HOST}:{self._port}'
 
     async def start(self) -> None:
-        """Accept connections."""
+        """Start to accept connections."""
         self._server = await asyncio.start_server(self._serve, HOST, self._port)
 
     def drop_traffic(self) -> None:
-        """Let every open connection go silent for good."""
+        """Drop the traffic of every open connection from now on.
+
+        Only the traffic in the direction of this relay is dropped.
+        """
         self._generation += 1
 
     def reset(self) -> None:
@@ -52,7 +58,7 @@
             writer.transport.abort()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop listening and close every connection."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -63,15 +69,15 @@
     ) -> None:
         host, _, port = self.target.rpartition(':')
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 host, int(port)
             )
         except OSError:
             writer.close()
             return
         for direction, source, sink in (
-            ('forward', reader, far_writer),
-            ('backward', far_reader, writer),
+            ('forward', reader, target_writer),
+            ('backward', target_reader, writer),
         ):
             task = asyncio.create_task(self._copy(direction, source, sink))
             self._tasks.add(task)
@@ -87,8 +93,8 @@
         self._writers.add(sink)
         try:
             while chunk := await source.read(_CHUNK_BYTES):
-                is_silent = generation != self._generation
-                if is_silent and self._direction in {direction, 'both'}:
+                is_dropping = generation != self._generation
+                if is_dropping and self._direction in {direction, 'both'}:
                     continue
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
--- a/merlintrail/lab/store.py
+++ b/merlintrail/lab/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's key-value service.
+"""Fake of the platform's key-value service.
 
 Run it with ``python -m merlintrail.lab.store --port=PORT``.
 """
@@ -16,7 +16,7 @@
 from merlintrail.lab._store_state import (
     MAX_VALUE_BYTES,
     Faults,
-    StoredKey,
+    StoredEntry,
     StoreState,
 )
 from merlintrail.protocol import decode_json, encode_json
@@ -37,11 +37,15 @@
 _NOT_FOUND: Final = HttpResponse(404, (), b'')
 _CONFLICT: Final = HttpResponse(409, (), b'')
 _LEASE_EXPIRED: Final = HttpResponse(410, (), b'')
-_DOWN: Final = HttpResponse(503, (), b'')
-_DONE: Final = HttpResponse(_OK, (), b'{}')
-_CALL_KINDS: Final = {'keys': 'read', 'transactions': 'write'}
-#: Keys in one page of a range.
+_UNAVAILABLE: Final = HttpResponse(503, (), b'')
+_EMPTY_OK: Final = HttpResponse(_OK, (), b'{}')
+#: Names under which requests to a collection are counted; others are
+#: counted under the name of the collection.
+_COUNT_NAMES: Final = {'keys': 'read', 'transactions': 'write'}
+#: Largest number of keys in one page of a range.
 PAGE_KEYS: Final = 500
+#: Paths that control the fake store; faults do not apply to requests to them,
+#: which are not counted either.
 _CONTROL_PATHS: Final = frozenset(('/v1/faults', '/v1/counts', '/v1/history'))
 
 
@@ -51,57 +55,53 @@
     )
 
 
-def _describe_key(known: StoredKey) -> HttpResponse:
-    return _build_answer({'document': known.document, 'version': known.version})
+def _build_entry_answer(entry: StoredEntry) -> HttpResponse:
+    return _build_answer({'document': entry.document, 'version': entry.version})
 
 
 class StoreService:
-    """Answers the calls of the store's HTTP interface."""
+    """HTTP interface of the fake store."""
 
-    def __init__(self, state: StoreState, source: random.Random) -> None:
+    def __init__(self, state: StoreState, rng: random.Random) -> None:
         self.state = state
-        self._source = source
+        self._rng = rng
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer one call, after the faults that are switched on."""
-        parts = urlsplit(request.target)
-        if parts.path in _CONTROL_PATHS:
-            return self._handle_control(request, parts.path)
+        """Serve one request, subject to the active faults."""
+        url = urlsplit(request.target)
+        if url.path in _CONTROL_PATHS:
+            return self._handle_control(request, url.path)
         faults = self.state.faults
-        self._count(request.method, parts.path)
+        self._count_call(request.method, url.path)
         if faults.is_down or faults.is_busy:
-            return _DOWN if faults.is_down else _BUSY
+            return _UNAVAILABLE if faults.is_down else _BUSY
         if faults.delay_s:
             await asyncio.sleep(faults.delay_s)
-        if request.method != 'GET' and self._loses_answer():
+        if request.method != 'GET' and self._should_lose_answer():
             asyncio.get_running_loop().call_later(
-                faults.late_s, self._serve_write, request, parts.path
+                faults.late_s, self._serve_write, request, url.path
             )
             raise ConnectionAbortedError
-        options = {
-            key: texts[0] for key, texts in parse_qs(parts.query).items()
-        }
-        return await self._serve(request, parts.path, options)
+        query = {key: texts[0] for key, texts in parse_qs(url.query).items()}
+        return await self._serve(request, url.path, query)
 
-    def _loses_answer(self) -> bool:
+    def _should_lose_answer(self) -> bool:
         faults = self.state.faults
-        return (
-            faults.loses_write_answers and self._source.random() < faults.share
-        )
+        return faults.loses_write_answers and self._rng.random() < faults.share
 
     async def _serve(
-        self, request: HttpRequest, path: str, options: Mapping[str, str]
+        self, request: HttpRequest, path: str, query: Mapping[str, str]
     ) -> HttpResponse:
         if request.method != 'GET':
             return self._serve_write(request, path)
         _, _, collection, *names = path.split('/')
         if collection == 'keys' and names:
-            known = self.state.read(unquote(names[0]))
-            return _NOT_FOUND if known is None else _describe_key(known)
+            entry = self.state.read(unquote(names[0]))
+            return _NOT_FOUND if entry is None else _build_entry_answer(entry)
         if collection == 'range':
-            return self._serve_range(options)
+            return self._serve_range(query)
         if collection == 'watch':
-            return await self._serve_watch(options)
+            return await self._serve_watch(query)
         return _NOT_FOUND
 
     def _serve_write(self, request: HttpRequest, path: str) -> HttpResponse:
@@ -112,23 +112,23 @@
             return self._serve_lease(request, names[0] if names else '')
         return _NOT_FOUND
 
-    def _serve_range(self, options: Mapping[str, str]) -> HttpResponse:
-        found = self.state.list_keys(
-            options.get('prefix', ''), options.get('after', '')
+    def _serve_range(self, query: Mapping[str, str]) -> HttpResponse:
+        matches = self.state.list_keys(
+            query.get('prefix', ''), query.get('after', '')
         )
-        page = list(found.items())[:PAGE_KEYS]
+        page = list(matches.items())[:PAGE_KEYS]
         return _build_answer(
             {
                 'items': [
                     {
                         'key': key,
-                        'document': known.document,
-                        'version': known.version,
+                        'document': entry.document,
+                        'version': entry.version,
                     }
-                    for key, known in page
+                    for key, entry in page
                 ],
                 'position': self.state.version,
-                'is_truncated': len(page) < len(found),
+                'is_truncated': len(page) < len(matches),
             }
         )
 
@@ -151,14 +151,14 @@
             return _CONFLICT
         return _build_answer({'version': version})
 
-    async def _serve_watch(self, options: Mapping[str, str]) -> HttpResponse:
+    async def _serve_watch(self, query: Mapping[str, str]) -> HttpResponse:
         changes = await self.state.wait(
-            options.get('prefix', ''),
-            int(options.get('position', '0')),
-            float(options.get('timeout_s', '10')),
+            query.get('prefix', ''),
+            int(query.get('position', '0')),
+            float(query.get('timeout_s', '10')),
         )
         if self.state.faults.is_down:
-            return _DOWN
+            return _UNAVAILABLE
         if changes is None:
             return _HISTORY_LOST
         return _build_answer(
@@ -175,25 +175,25 @@
             return _build_answer({'lease': granted})
         if request.method == 'DELETE':
             self.state.revoke_lease(lease)
-            return _DONE
-        return _DONE if self.state.renew_lease(lease) else _LEASE_EXPIRED
+            return _EMPTY_OK
+        return _EMPTY_OK if self.state.renew_lease(lease) else _LEASE_EXPIRED
 
     def _handle_control(self, request: HttpRequest, path: str) -> HttpResponse:
         if path == '/v1/faults' and request.method == 'POST':
             self.state.faults = Faults(**decode_json(request.body))
-            return _DONE
+            return _EMPTY_OK
         if path == '/v1/history' and request.method == 'DELETE':
             self.state.drop_history()
-            return _DONE
+            return _EMPTY_OK
         return _build_answer(dict(self.state.counts))
 
-    def _count(self, method: str, path: str) -> None:
+    def _count_call(self, method: str, path: str) -> None:
         collection = path.split('/')[2]
-        self.state.counts[_CALL_KINDS.get(collection, collection)] += 1
+        self.state.counts[_COUNT_NAMES.get(collection, collection)] += 1
 
 
 async def start_store(host: str, port: int) -> HttpServer:
-    """Start a stand-in; port 0 takes a free one."""
+    """Start a fake store; port 0 selects a free port."""
     service = StoreService(StoreState(time.monotonic), random.Random(port))
     limits = ServerLimits(max_body_bytes=MAX_VALUE_BYTES * 2)
     return await start_server(service.handle, host, port, limits=limits)
--- a/merlintrail/lab/tests/test_deployment.py
+++ b/merlintrail/lab/tests/test_deployment.py
@@ -1,4 +1,4 @@
-"""A whole request through real processes."""
+"""End-to-end test of the example deployment."""
 
 import subprocess
 import sys
@@ -9,11 +9,11 @@
 
 
 class DeploymentTest(unittest.TestCase):
-    """``make run`` answers every request and ends by itself."""
+    """The deployment of ``make run``, for a limited duration."""
 
     def test_every_request_is_answered(self) -> None:
-        """Callers, nodes, two chained services and the store."""
-        finished = subprocess.run(
+        """It exits with 0, and each request succeeds or is refused."""
+        completed = subprocess.run(
             [
                 sys.executable,
                 '-m',
@@ -24,8 +24,8 @@
             check=False,
             timeout=90,
         )
-        self.assertEqual(finished.returncode, 0, finished.stderr)
-        summary: dict[str, Any] = orjson.loads(finished.stdout)
+        self.assertEqual(completed.returncode, 0, completed.stderr)
+        summary: dict[str, Any] = orjson.loads(completed.stdout)
         self.assertGreater(summary['requests'], 50)
         self.assertEqual(
             summary['whole_answers'] + sum(summary['refusals'].values()),
--- a/merlintrail/lab/tests/test_ports.py
+++ b/merlintrail/lab/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports of processes that are started side by side."""
+"""Allocation of ports within a process and between processes."""
 
 import socket
 import subprocess
@@ -15,28 +15,30 @@
 
 
 class PortsTest(unittest.TestCase):
-    """No port is given twice, nor one that any connection may have."""
+    """No port is allocated twice, and none from the ephemeral range."""
 
     def test_ports_of_one_process(self) -> None:
-        """More than a block of them, all different, none taken."""
-        with socket.socket() as taken:
-            taken.bind((HOST, find_free_ports(1)[0] + 1))
+        """More ports than one block has are distinct, and none is in use."""
+        with socket.socket() as occupied:
+            occupied.bind((HOST, find_free_ports(1)[0] + 1))
             ports = find_free_ports(BLOCK_PORTS + 10)
-            self.assertNotIn(taken.getsockname()[1], ports)
+            self.assertNotIn(occupied.getsockname()[1], ports)
         self.assertEqual(len(set(ports)), len(ports))
         self.assertLessEqual(max(ports), LAST_PORT)
 
     def test_ports_of_two_processes(self) -> None:
-        """Those of another process are left to it while it lives."""
+        """Ports allocated by a running process are not allocated by another."""
         with subprocess.Popen(
             [sys.executable, '-c', _PRINT_PORTS],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
-        ) as other:
-            assert other.stdout is not None
-            theirs = {int(port) for port in other.stdout.readline().split()}
-            ours = set(find_free_ports(BLOCK_PORTS))
-            other.communicate('\n', timeout=10)
-        self.assertEqual(len(theirs), 100)
-        self.assertFalse(theirs & ours)
+        ) as other_process:
+            assert other_process.stdout is not None
+            other_ports = {
+                int(port) for port in other_process.stdout.readline().split()
+            }
+            own_ports = set(find_free_ports(BLOCK_PORTS))
+            other_process.communicate('\n', timeout=10)
+        self.assertEqual(len(other_ports), 100)
+        self.assertFalse(other_ports & own_ports)
--- a/merlintrail/lab/tests/test_store.py
+++ b/merlintrail/lab/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store client against the stand-in, over HTTP, with its faults."""
+"""Store client against the fake store over HTTP, with faults."""
 
 import threading
 import unittest
@@ -22,7 +22,7 @@
 
 
 class StoreTest(unittest.TestCase):
-    """One stand-in on a thread of its own."""
+    """Client of one fake store that runs in its own thread."""
 
     def setUp(self) -> None:
         thread = ServerThread(lambda: start_store('127.0.0.1', 0))
@@ -31,7 +31,7 @@
         self.client: StoreClient = create_store_client([thread.address])
 
     def set_faults(self, **faults: Any) -> None:
-        """Switch faults on or off."""
+        """Replace the active faults; no arguments switch all of them off."""
         urllib3.request(
             'POST',
             f'http://{self.address}/v1/faults',
@@ -39,32 +39,36 @@
         )
 
     def drop_history(self) -> None:
-        """Have the store forget its history."""
+        """Make the store drop its change history."""
         urllib3.request('DELETE', f'http://{self.address}/v1/history')
 
     def write(self, document: object, expected: int) -> int:
-        """Write the key and return its version."""
+        """Write the key ``a/b`` and return its version."""
         version = self.client.write('a/b', document, expected)
         assert isinstance(version, int), version
         return version
 
     def assert_fault(self, answer: object, fault: StoreFault) -> None:
-        """Check that a call failed in a certain way."""
+        """Check that a call failed with the given fault."""
         assert isinstance(answer, StoreFailure), answer
         self.assertEqual(answer.fault, fault)
 
     def test_compare_and_swap(self) -> None:
-        """Create, replace, collide, remove."""
+        """Writes and removals succeed only with the current version."""
         self.assert_fault(self.client.read('a/b'), StoreFault.NOT_FOUND)
-        first = self.write([1], 0)
+        first_version = self.write([1], 0)
         self.assert_fault(self.client.write('a/b', [2], 0), StoreFault.CONFLICT)
-        second = self.write([2], first)
-        self.assertEqual(self.client.read('a/b'), StoreValue([2], second))
-        self.assert_fault(self.client.remove('a/b', first), StoreFault.CONFLICT)
-        self.assertIsNone(self.client.remove('a/b', second))
+        second_version = self.write([2], first_version)
+        self.assertEqual(
+            self.client.read('a/b'), StoreValue([2], second_version)
+        )
+        self.assert_fault(
+            self.client.remove('a/b', first_version), StoreFault.CONFLICT
+        )
+        self.assertIsNone(self.client.remove('a/b', second_version))
 
     def test_leases(self) -> None:
-        """A key goes with its lease; a lost lease writes nothing."""
+        """A key is removed with its lease, and a revoked lease is unusable."""
         lease = self.client.grant_lease(60)
         assert isinstance(lease, str)
         self.client.write('held', 1, 0, lease)
@@ -79,47 +83,49 @@
         )
 
     def test_watch(self) -> None:
-        """A change ends it, a removal too; without one it ends empty."""
+        """A watch returns on a change or a removal, or empty on timeout."""
         version = self.write('old', 0)
         self.assertEqual(
             self.client.watch('a/', version, 0.05), StoreItems((), version)
         )
         threading.Timer(0.05, self.write, ('new', version)).start()
-        found = self.client.watch('a/', version, 20)
-        assert isinstance(found, StoreItems)
-        self.assertEqual([entry.document for entry in found.entries], ['new'])
-        self.client.remove('a/b', found.position)
-        found = self.client.watch('a/', found.position, 20)
-        assert isinstance(found, StoreItems)
-        self.assertEqual([entry.document for entry in found.entries], [None])
+        result = self.client.watch('a/', version, 20)
+        assert isinstance(result, StoreItems)
+        self.assertEqual([entry.document for entry in result.entries], ['new'])
+        self.client.remove('a/b', result.position)
+        result = self.client.watch('a/', result.position, 20)
+        assert isinstance(result, StoreItems)
+        self.assertEqual([entry.document for entry in result.entries], [None])
 
     def test_range(self) -> None:
-        """Every key under a prefix, over several pages."""
+        """A range returns every key with the prefix, over several pages."""
         with mock.patch('merlintrail.lab.store.PAGE_KEYS', 2):
             for number in range(5):
                 self.client.write(f'p/{number}', number, 0)
             self.client.write('q/0', 'other', 0)
-            found = self.client.read_range('p/')
-        assert isinstance(found, StoreItems)
+            result = self.client.read_range('p/')
+        assert isinstance(result, StoreItems)
         self.assertEqual(
-            [(entry.key, entry.document) for entry in found.entries],
-            [(f'p/{place}', place) for place in range(5)],
+            [(entry.key, entry.document) for entry in result.entries],
+            [(f'p/{index}', index) for index in range(5)],
         )
 
     def test_transaction(self) -> None:
-        """Several keys change together or not at all."""
-        first = self.write(1, 0)
-        colliding = Transaction({'a/b': 0}, puts={'a/c': 3})
-        self.assert_fault(self.client.transact(colliding), StoreFault.CONFLICT)
+        """Several keys are changed together or not at all."""
+        first_version = self.write(1, 0)
+        conflicting = Transaction({'a/b': 0}, puts={'a/c': 3})
+        self.assert_fault(
+            self.client.transact(conflicting), StoreFault.CONFLICT
+        )
         self.assert_fault(self.client.read('a/c'), StoreFault.NOT_FOUND)
-        fitting = Transaction(
-            {'a/b': first}, puts={'a/c': 3}, removals=('a/b',)
+        matching = Transaction(
+            {'a/b': first_version}, puts={'a/c': 3}, removals=('a/b',)
         )
-        self.assertIsInstance(self.client.transact(fitting), int)
+        self.assertIsInstance(self.client.transact(matching), int)
         self.assert_fault(self.client.read('a/b'), StoreFault.NOT_FOUND)
 
-    def test_history_that_is_lost(self) -> None:
-        """A watch behind it says so, a waiting one too."""
+    def test_lost_history(self) -> None:
+        """A watch reports a dropped history, also when it already waits."""
         version = self.write('old', 0)
         threading.Timer(0.05, self.drop_history).start()
         self.assert_fault(
@@ -130,7 +136,7 @@
         )
 
     def test_busy(self) -> None:
-        """A call beyond the store's rates is certainly not done."""
+        """A rate-limited request is reported as certainly not done."""
         self.set_faults(is_busy=True)
         self.assert_fault(
             self.client.write('a/b', 1, 0), StoreFault.UNAVAILABLE
@@ -139,45 +145,49 @@
         self.assert_fault(self.client.read('a/b'), StoreFault.NOT_FOUND)
 
     def test_late_write(self) -> None:
-        """It takes effect after the writer was told that it cannot know."""
+        """A write may take effect after it was reported as unknown."""
         self.set_faults(loses_write_answers=True, late_s=0.2)
         self.assert_fault(self.client.write('a/b', 7, 0), StoreFault.UNKNOWN)
         self.set_faults()
         self.assert_fault(self.client.read('a/b'), StoreFault.NOT_FOUND)
-        found = self.client.watch('a/', 1, 20)
-        assert isinstance(found, StoreItems)
-        self.assertEqual([entry.document for entry in found.entries], [7])
+        result = self.client.watch('a/', 1, 20)
+        assert isinstance(result, StoreItems)
+        self.assertEqual([entry.document for entry in result.entries], [7])
 
     def test_down(self) -> None:
-        """Certainly nothing is done, also when nothing listens."""
+        """A request is reported as not done when the store is down.
+
+        The same holds for an address on which nothing listens; with a
+        second address the client uses that one.
+        """
         self.set_faults(is_down=True)
         self.assert_fault(
             self.client.write('a/b', 1, 0), StoreFault.UNAVAILABLE
         )
         self.set_faults()
         self.assert_fault(self.client.read('a/b'), StoreFault.NOT_FOUND)
-        other = create_store_client(['127.0.0.1:1'])
-        self.assert_fault(other.read('a/b'), StoreFault.UNAVAILABLE)
-        both = create_store_client(['127.0.0.1:1', self.address])
-        self.assert_fault(both.read('a/b'), StoreFault.NOT_FOUND)
+        unreachable = create_store_client(['127.0.0.1:1'])
+        self.assert_fault(unreachable.read('a/b'), StoreFault.UNAVAILABLE)
+        with_fallback = create_store_client(['127.0.0.1:1', self.address])
+        self.assert_fault(with_fallback.read('a/b'), StoreFault.NOT_FOUND)
 
-    def test_write_taken_and_its_answer_lost(self) -> None:
-        """The writer is told that it cannot know, and the write is there."""
+    def test_write_with_lost_answer(self) -> None:
+        """A write whose answer is lost is reported as unknown and is stored."""
         self.set_faults(loses_write_answers=True)
         self.assert_fault(self.client.write('a/b', 7, 0), StoreFault.UNKNOWN)
         self.set_faults()
-        found = self.client.read('a/b')
-        assert isinstance(found, StoreValue)
-        self.assertEqual(found.document, 7)
+        result = self.client.read('a/b')
+        assert isinstance(result, StoreValue)
+        self.assertEqual(result.document, 7)
 
     def test_stale_reads_and_counts(self) -> None:
-        """An earlier document comes back, and every call is counted."""
+        """A stale read returns the previous document; requests are counted."""
         version = self.write('old', 0)
         self.write('new', version)
         self.set_faults(is_stale=True)
-        found = self.client.read('a/b')
-        assert isinstance(found, StoreValue)
-        self.assertEqual(found.document, 'old')
+        result = self.client.read('a/b')
+        assert isinstance(result, StoreValue)
+        self.assertEqual(result.document, 'old')
         counts = orjson.loads(
             urllib3.request('GET', f'http://{self.address}/v1/counts').data
         )
