--- a/merlintrail/bench/_fault_soak.py
+++ b/merlintrail/bench/_fault_soak.py
@@ -1,8 +1,10 @@
-"""One seed of a soak with faults.
+"""One run of the soak test with fault injection, for one seed.
 
-Callers send requests to a small deployment of real processes while these are
-killed, paused and restarted, their links are disturbed and the store
-misbehaves. What callers and backend servers saw is held against the promises.
+Callers send requests to a small deployment of real processes. Meanwhile nodes
+are killed, paused and restarted, backend servers are killed, connections
+between nodes are reset, delayed or lose their traffic, and the store fails, is
+slow or loses answers. Afterwards the answers that the callers received and the
+run logs of the backend servers are checked for violated guarantees.
 """
 
 import asyncio
@@ -14,56 +16,60 @@
 import uvloop
 
 from merlintrail.bench._latency import build_document, start_deployment
-from merlintrail.bench._soak_callers import SoakCallers, SoakRecord
+from merlintrail.bench._soak_callers import RequestRecord, SoakCallers
 from merlintrail.bench._soak_checks import (
-    RECOVERED_SHARE,
+    MIN_RECOVERED_SHARE,
     check_records,
-    compute_success,
+    compute_success_share,
     count_runs,
 )
-from merlintrail.bench._soak_faults import SoakFaults, SoakTargets
+from merlintrail.bench._soak_faults import FaultInjector, FaultTargets
 from merlintrail.lab.processes import Deployment, WorkerPlan
 from merlintrail.lab.relay import Relay
 
-#: Seeds that ever showed a finding, by its cause; with 8 s of faults.
+#: Seeds that had findings with 8 s of fault injection, and the cause.
 FAILED_SEEDS: Final[Mapping[int, str]] = {
-    21: 'a refusal of a resend was held against the run of the first sending',
-    37: 'the same',
+    21: 'the check held the run of the first attempt against a refused retry',
+    37: 'same cause as seed 21',
 }
+#: Instances with a backend server.
 WORKERS: Final = ('echo-0', 'echo-1', 'echo-2')
-#: Which bytes a silent connection to a worker swallows, for each worker.
-DIRECTIONS: Final = ('forward', 'backward', 'both')
-ENTRIES: Final = ('entry-0', 'entry-1')
-#: Seconds of load before the first fault.
-CALM_S: Final = 1.0
-#: Seconds after the last fault until requests are to succeed again.
-SETTLING_S: Final = 10.0
-#: Seconds of load from which that is judged.
-JUDGED_S: Final = 3.0
+#: Direction in which the relay of each worker drops traffic.
+DROPPED_DIRECTIONS: Final = ('forward', 'backward', 'both')
+#: Instances without a backend server, to which callers send requests.
+ENTRY_NODES: Final = ('entry-0', 'entry-1')
+#: Seconds of load before fault injection starts.
+WARMUP_S: Final = 1.0
+#: Seconds for recovery after the end of the last fault.
+RECOVERY_S: Final = 10.0
+#: Seconds of load after recovery in which the success share is measured.
+MEASUREMENT_S: Final = 3.0
 
 
 class SoakResult(NamedTuple):
-    """What one seed showed."""
+    """Findings, injected faults and request records of one seed."""
 
     seed: int
+    #: Descriptions of violated guarantees.
     findings: Sequence[str]
+    #: Number of injected faults by name.
     faults: Mapping[str, int]
-    records: Sequence[SoakRecord]
-    #: Share of successes once everything has settled.
+    records: Sequence[RequestRecord]
+    #: Share of successful requests among those sent after recovery.
     recovered_share: float
 
     def summarise(self) -> dict[str, Any]:
-        """Build a summary that can be printed as JSON."""
-        statuses: dict[str, int] = {}
+        """Build a summary that can be serialised as JSON."""
+        answer_counts: dict[str, int] = {}
         for record in self.records:
             name = f'{record.kind.name} {record.status} {record.outcome}'
-            statuses[name] = statuses.get(name, 0) + 1
+            answer_counts[name] = answer_counts.get(name, 0) + 1
         return {
             'seed': self.seed,
             'findings': list(self.findings),
             'recovered_share': round(self.recovered_share, 3),
             'faults': dict(self.faults),
-            'answers': dict(sorted(statuses.items())),
+            'answers': dict(sorted(answer_counts.items())),
         }
 
 
@@ -72,7 +78,7 @@
 
 
 def _start_workers(deployment: Deployment, relays: Sequence[Relay]) -> None:
-    """Start the workers, their peer addresses behind relays."""
+    """Start the workers, each with a relay in front of its peer address."""
     plans = [
         WorkerPlan(
             name,
@@ -96,73 +102,77 @@
 
 
 async def _start_relays() -> list[Relay]:
-    relays = [Relay(direction) for direction in DIRECTIONS]
+    relays = [Relay(direction) for direction in DROPPED_DIRECTIONS]
     for relay in relays:
         await relay.start()
     return relays
 
 
 async def _run_load(
-    callers: SoakCallers, faults: SoakFaults, duration_s: float
+    callers: SoakCallers, faults: FaultInjector, duration_s: float
 ) -> float:
     """Send requests before, during and after the faults.
 
-    :returns: seconds after the first request from which all is settled.
+    :returns: seconds since the start of the load at which recovery ended and
+        measurement began.
     """
-    sending = asyncio.create_task(callers.run())
+    load_task = asyncio.create_task(callers.run())
     started_at = time.monotonic()
-    await asyncio.sleep(CALM_S)
+    await asyncio.sleep(WARMUP_S)
     await faults.run(duration_s)
-    await asyncio.sleep(SETTLING_S)
-    settled_s = time.monotonic() - started_at
-    await asyncio.sleep(JUDGED_S)
-    sending.cancel()
+    await asyncio.sleep(RECOVERY_S)
+    measured_from_s = time.monotonic() - started_at
+    await asyncio.sleep(MEASUREMENT_S)
+    load_task.cancel()
     await callers.finish()
-    return settled_s
+    return measured_from_s
 
 
-async def _soak(
+async def _run_soak(
     deployment: Deployment, seed: int, duration_s: float
 ) -> SoakResult:
     relays = await _start_relays()
     await asyncio.to_thread(_start_workers, deployment, relays)
     callers = SoakCallers(
-        [deployment.workers[name].call_address for name in ENTRIES], seed
+        [deployment.workers[name].call_address for name in ENTRY_NODES], seed
     )
-    faults = SoakFaults(SoakTargets(deployment, WORKERS, ENTRIES, relays), seed)
-    settled_s = await _run_load(callers, faults, duration_s)
+    faults = FaultInjector(
+        FaultTargets(deployment, WORKERS, ENTRY_NODES, relays), seed
+    )
+    measured_from_s = await _run_load(callers, faults, duration_s)
     for relay in relays:
         relay.stop()
     findings = check_records(
         callers.records, count_runs(_list_run_logs(deployment))
     )
-    share = compute_success(callers.records, settled_s)
-    if share < RECOVERED_SHARE:
+    share = compute_success_share(callers.records, measured_from_s)
+    if share < MIN_RECOVERED_SHARE:
         findings.append(
-            f'{share:.2f} of the requests succeed {SETTLING_S} s after the '
+            f'{share:.2f} of the requests succeeded {RECOVERY_S} s after the '
             'last fault'
         )
     return SoakResult(seed, findings, faults.counts, callers.records, share)
 
 
 def run_soak(
-    seed: int, duration_s: float, keep: str | None = None
+    seed: int, duration_s: float, keep_folder: str | None = None
 ) -> SoakResult:
     """Run one seed.
 
-    :param keep: folder to which the logs go when promises were broken.
+    :param keep_folder: existing folder to which the deployment's folder with
+        its logs is moved if there are findings.
     """
     deployment = start_deployment(
         [
             WorkerPlan(name, f'dc-{number % 2}', None)
-            for number, name in enumerate(ENTRIES)
+            for number, name in enumerate(ENTRY_NODES)
         ],
         2,
     )
     try:
-        found = uvloop.run(_soak(deployment, seed, duration_s))
-        if found.findings and keep is not None:
-            deployment.folder.rename(Path(keep) / f'seed-{seed}')
+        result = uvloop.run(_run_soak(deployment, seed, duration_s))
+        if result.findings and keep_folder is not None:
+            deployment.folder.rename(Path(keep_folder) / f'seed-{seed}')
     finally:
         deployment.stop()
-    return found
+    return result
--- a/merlintrail/bench/_soak_callers.py
+++ b/merlintrail/bench/_soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a fault soak, and what they saw of each request."""
+"""Callers of the fault soak, which record the answer to each request."""
 
 import asyncio
 import random
@@ -15,113 +15,115 @@
 )
 from merlintrail.transport import HttpResponse, create_pool
 
-#: Requests a second of all callers together.
-RATE: Final = 60.0
-#: Milliseconds that a caller gives its request.
+#: Mean request rate of all callers together.
+REQUESTS_PER_S: Final = 60.0
+#: Deadline of each attempt in milliseconds.
 DEADLINE_MS: Final = 2000
-#: Seconds beyond the deadline within which the answer must be there.
-PATIENCE_S: Final = 1.5
-#: Times that a caller sends a keyed request in all.
-KEYED_SENDS: Final = 3
-#: Seconds between these.
-RESEND_S: Final = 0.3
+#: Seconds that a caller waits for the answer beyond the deadline.
+TIMEOUT_MARGIN_S: Final = 1.5
+#: Maximum number of attempts for a keyed request, the first included.
+MAX_KEYED_ATTEMPTS: Final = 3
+#: Seconds between a failed attempt and the next one.
+RETRY_DELAY_S: Final = 0.3
 _OK: Final = 200
 _MS_PER_S: Final = 1000
 
 
-class SoakKind(NamedTuple):
-    """How requests of one kind may be repeated."""
+class SoakRequestKind(NamedTuple):
+    """A request kind and whether its requests may be repeated."""
 
     name: str
     target: str
-    #: Whether each request carries an idempotency key.
+    #: Whether each request carries an idempotency key; callers retry these.
     is_keyed: bool = False
-    #: Whether it may run more than once.
+    #: Whether a backend server may run a request more than once.
     is_idempotent: bool = False
 
 
-SOAK_KINDS: Final = (
-    SoakKind('idempotent', '/echo/call', is_idempotent=True),
-    SoakKind('non-idempotent', '/echo/once'),
-    SoakKind('keyed', '/echo/once', is_keyed=True),
+SOAK_REQUEST_KINDS: Final = (
+    SoakRequestKind('idempotent', '/echo/call', is_idempotent=True),
+    SoakRequestKind('non-idempotent', '/echo/once'),
+    SoakRequestKind('keyed', '/echo/once', is_keyed=True),
 )
 
 
-class SoakRecord(NamedTuple):
-    """What the caller saw of one request."""
+class RequestRecord(NamedTuple):
+    """A request and its last answer, as the caller received it."""
 
-    #: Unique; a number behind it makes the name of a sending.
+    #: Unique label; see :func:`build_run_label`.
     label: str
-    kind: SoakKind
-    #: Place of the entry that it was sent to.
-    entry: int
-    #: Seconds since the start of the soak.
+    kind: SoakRequestKind
+    #: Index of the entry node to which the request was sent.
+    entry_index: int
+    #: Seconds from the start of the load to the first attempt.
     sent_at: float = 0.0
-    #: Status of the last answer, 0 without one in time.
+    #: Status of the last answer; 0 if the last attempt received none.
     status: int = 0
-    #: Outcome that the last answer states.
+    #: Outcome header of the last answer; empty if it has none.
     outcome: str = ''
-    #: Whether the body of a success is the one that belongs to it.
-    is_own: bool = False
-    #: Times that the caller sent it.
-    sends: int = 1
+    #: Whether the last answer is a success that echoes this request's body.
+    has_matching_body: bool = False
+    #: Number of times that the caller sent the request.
+    attempts: int = 1
 
 
-def name_sending(label: str, send: int) -> str:
-    """Name one sending of a request, as it is logged where it runs."""
-    return f'{label}.{send}'
+def build_run_label(label: str, attempt: int) -> str:
+    """Return the label that a backend server logs for one attempt."""
+    return f'{label}.{attempt}'
 
 
 class SoakCallers:
-    """Sends requests to every entry over connections that are kept."""
+    """Sends requests to the entry nodes over pooled connections."""
 
-    def __init__(self, entries: Sequence[str], seed: int) -> None:
-        self._entries = entries
-        self._source = random.Random(seed)
+    def __init__(self, entry_addresses: Sequence[str], seed: int) -> None:
+        self._entry_addresses = entry_addresses
+        self._rng = random.Random(seed)
         self._pool = create_pool()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._sent = 0
-        self.records: list[SoakRecord] = []
+        self._request_count = 0
+        self.records: list[RequestRecord] = []
 
     async def run(self) -> None:
-        """Send at random times until cancelled."""
+        """Send requests at random intervals until cancelled."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         while True:
-            await asyncio.sleep(self._source.expovariate(RATE))
-            self._sent += 1
-            kind = self._source.choice(SOAK_KINDS)
-            entry = self._source.randrange(len(self._entries))
+            await asyncio.sleep(self._rng.expovariate(REQUESTS_PER_S))
+            self._request_count += 1
+            kind = self._rng.choice(SOAK_REQUEST_KINDS)
+            entry_index = self._rng.randrange(len(self._entry_addresses))
             sent_at = loop.time() - started_at
-            task = loop.create_task(self._send(kind, entry, sent_at))
+            task = loop.create_task(self._send(kind, entry_index, sent_at))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def finish(self) -> None:
-        """Wait for the answers that are due."""
+        """Wait for all outstanding requests, then close the connections."""
         await asyncio.gather(*self._tasks)
         self._pool.close()
 
-    async def _send(self, kind: SoakKind, entry: int, sent_at: float) -> None:
-        label = f'{kind.name}-{self._sent}'
-        sends = 0
+    async def _send(
+        self, kind: SoakRequestKind, entry_index: int, sent_at: float
+    ) -> None:
+        label = f'{kind.name}-{self._request_count}'
+        attempts = 0
         while True:
-            sends += 1
-            record = await self._send_once(kind, entry, label, sends)
-            record = record._replace(sent_at=sent_at, sends=sends)
+            attempts += 1
+            record = await self._send_once(kind, entry_index, label, attempts)
+            record = record._replace(sent_at=sent_at, attempts=attempts)
             is_final = record.status == _OK or not kind.is_keyed
-            if is_final or sends == KEYED_SENDS:
+            if is_final or attempts == MAX_KEYED_ATTEMPTS:
                 break
-            await asyncio.sleep(RESEND_S)
+            await asyncio.sleep(RETRY_DELAY_S)
         self.records.append(record)
 
     async def _send_once(
-        self, kind: SoakKind, entry: int, label: str, send: int
-    ) -> SoakRecord:
-        address = self._entries[entry]
+        self, kind: SoakRequestKind, entry_index: int, label: str, attempt: int
+    ) -> RequestRecord:
+        address = self._entry_addresses[entry_index]
         headers = [
             ('host', address),
-            (RUN_LABEL_HEADER, name_sending(label, send)),
+            (RUN_LABEL_HEADER, build_run_label(label, attempt)),
             (DEADLINE_HEADER, str(DEADLINE_MS)),
         ]
         if kind.is_keyed:
@@ -132,19 +134,20 @@
             kind.target,
             headers,
             label.encode(),
-            timeout_s=DEADLINE_MS / _MS_PER_S + PATIENCE_S,
+            timeout_s=DEADLINE_MS / _MS_PER_S + TIMEOUT_MARGIN_S,
         )
-        record = SoakRecord(label, kind, entry)
+        record = RequestRecord(label, kind, entry_index)
         if not isinstance(answer, HttpResponse):
             return record
         return record._replace(
             status=answer.status,
             outcome=answer.find_header(OUTCOME_HEADER) or '',
-            is_own=answer.status == _OK and _is_echo(answer, label),
+            has_matching_body=answer.status == _OK
+            and _echoes_label(answer, label),
         )
 
 
-def _is_echo(answer: HttpResponse, label: str) -> bool:
+def _echoes_label(answer: HttpResponse, label: str) -> bool:
     try:
         document = orjson.loads(answer.body)
     except orjson.JSONDecodeError:
--- a/merlintrail/bench/_soak_checks.py
+++ b/merlintrail/bench/_soak_checks.py
@@ -1,22 +1,29 @@
-"""Promises that a fault soak checks, from what callers and servers saw."""
+"""Checks of the guarantees that must hold during a fault soak.
+
+They compare the answers that callers received with the run logs of the
+backend servers.
+"""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from pathlib import Path
 from typing import Final
 
-from merlintrail.bench._soak_callers import SoakRecord, name_sending
+from merlintrail.bench._soak_callers import RequestRecord, build_run_label
 
-#: Share of requests that must succeed once the faults have ended.
-RECOVERED_SHARE: Final = 0.95
-#: Place of the entry that no fault is brought about in.
-STEADY_ENTRY: Final = 0
+#: Minimum share of successes among the requests sent after recovery.
+MIN_RECOVERED_SHARE: Final = 0.95
+#: Index of the entry node into which no fault is injected.
+FAULT_FREE_ENTRY_INDEX: Final = 0
 _OK: Final = 200
 _NOT_RUN: Final = 'not-run'
 
 
 def count_runs(logs: Iterable[Path]) -> Counter[str]:
-    """Count the runs of each sending in the logs of backend servers."""
+    """Count the runs of each attempt in the run logs of backend servers.
+
+    :returns: number of runs by run label.
+    """
     runs: Counter[str] = Counter()
     for log in logs:
         if log.exists():
@@ -25,42 +32,52 @@
 
 
 def check_record(
-    record: SoakRecord, runs_by_sending: Mapping[str, int]
+    record: RequestRecord, runs_by_label: Mapping[str, int]
 ) -> Iterator[str]:
-    """Find the promises that were broken towards one caller.
+    """Yield a message for each guarantee that was violated for one request.
 
-    An answer that tells of a run tells of its own sending; an earlier one
-    with the same key may have run.
+    The outcome ``not-run`` refers to the last attempt only: an earlier attempt
+    with the same idempotency key may have run.
     """
-    names = [
-        name_sending(record.label, number + 1) for number in range(record.sends)
+    run_labels = [
+        build_run_label(record.label, number + 1)
+        for number in range(record.attempts)
     ]
-    runs = sum(runs_by_sending.get(name, 0) for name in names)
-    runs_of_last = runs_by_sending.get(names[-1], 0)
-    seen = f'{record.label}: status {record.status} {record.outcome}'
-    if record.entry == STEADY_ENTRY and not record.status:
-        yield f'{seen}: no answer of a node that ran all the while'
-    if record.status == _OK and not record.is_own:
-        yield f'{seen}: the answer belongs to another request'
+    runs = sum(runs_by_label.get(run_label, 0) for run_label in run_labels)
+    runs_of_last_attempt = runs_by_label.get(run_labels[-1], 0)
+    prefix = f'{record.label}: status {record.status} {record.outcome}'
+    if record.entry_index == FAULT_FREE_ENTRY_INDEX and not record.status:
+        yield f'{prefix}: no answer from an entry node that ran all the time'
+    if record.status == _OK and not record.has_matching_body:
+        yield f'{prefix}: the answer belongs to another request'
     if record.status == _OK and not runs:
-        yield f'{seen}: a success that no backend server ran'
+        yield f'{prefix}: succeeded, but no backend server ran it'
     if runs > 1 and not record.kind.is_idempotent:
-        yield f'{seen}: ran {runs} times'
-    if record.outcome == _NOT_RUN and runs_of_last:
-        yield f'{seen}: said not to have run, ran {runs_of_last} times'
+        yield f'{prefix}: ran {runs} times'
+    if record.outcome == _NOT_RUN and runs_of_last_attempt:
+        yield (
+            f'{prefix}: reported as not run, '
+            f'but ran {runs_of_last_attempt} times'
+        )
 
 
 def check_records(
-    records: Sequence[SoakRecord], runs: Mapping[str, int]
+    records: Sequence[RequestRecord], runs: Mapping[str, int]
 ) -> list[str]:
-    """Find every broken promise."""
+    """Return a message for each violated guarantee."""
     return [
         finding for record in records for finding in check_record(record, runs)
     ]
 
 
-def compute_success(records: Iterable[SoakRecord], since_s: float) -> float:
-    """Return the share of successes among what was sent from a time on."""
-    late = [record for record in records if record.sent_at >= since_s]
-    good = sum(1 for record in late if record.status == _OK)
-    return good / len(late) if late else 0.0
+def compute_success_share(
+    records: Iterable[RequestRecord], since_s: float
+) -> float:
+    """Return the share of successes among the requests sent from a time on.
+
+    :param since_s: seconds since the start of the load.
+    :returns: 0 if no request was sent from then on.
+    """
+    measured = [record for record in records if record.sent_at >= since_s]
+    success_count = sum(1 for record in measured if record.status == _OK)
+    return success_count / len(measured) if measured else 0.0
--- a/merlintrail/bench/_soak_faults.py
+++ b/merlintrail/bench/_soak_faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside the processes of a soak, by a seeded source."""
+"""Fault injection into the processes, links and store of a fault soak."""
 
 import asyncio
 import random
@@ -7,27 +7,28 @@
 from collections.abc import Awaitable, Callable, Sequence
 from typing import Any, Final, NamedTuple, TypeAlias
 
-from merlintrail.bench._soak_checks import STEADY_ENTRY
+from merlintrail.bench._soak_checks import FAULT_FREE_ENTRY_INDEX
 from merlintrail.lab.processes import Deployment
 from merlintrail.lab.relay import Relay
 
-#: Mean seconds between the beginnings of two faults.
-INTERVAL_S: Final = 0.7
-#: Bounds on the seconds that a fault lasts.
-SHORTEST_S: Final = 0.2
-LONGEST_S: Final = 3.0
-#: Seconds by which a delayed relay holds bytes back.
-DELAY_S: Final = 0.4
-#: Faults that may last at the same time.
-MAX_AT_ONCE: Final = 3
-#: Seconds between two looks at a process that is to end.
-_POLL_S: Final = 0.05
-
-#: Members of the store stand-in's faults.
+#: Mean seconds between two attempts to inject a fault.
+MEAN_FAULT_INTERVAL_S: Final = 0.7
+#: Bounds of the random duration of a fault.
+MIN_FAULT_DURATION_S: Final = 0.2
+MAX_FAULT_DURATION_S: Final = 3.0
+#: Seconds by which a relay delays each chunk of bytes.
+RELAY_DELAY_S: Final = 0.4
+#: Maximum number of faults in progress at the same time.
+MAX_CONCURRENT_FAULTS: Final = 3
+#: Seconds between two polls for the exit of a process.
+_POLL_INTERVAL_S: Final = 0.05
+
+#: Fields of the store stand-in's faults to set.
 StoreFaults: TypeAlias = dict[str, Any]
-#: Brings about a fault in a subject, by its name, for some seconds.
-Fault: TypeAlias = Callable[[str, float], Awaitable[None]]
+#: Injects a fault into the named target for a number of seconds.
+FaultAction: TypeAlias = Callable[[str, float], Awaitable[None]]
 
+#: Faults of the store, one of which is chosen at random.
 _STORE_FAULTS: Final[Sequence[StoreFaults]] = (
     {'is_down': True},
     {'is_busy': True},
@@ -37,41 +38,47 @@
 )
 
 
-class SoakTargets(NamedTuple):
-    """What faults are brought about in."""
+class FaultTargets(NamedTuple):
+    """The processes and links into which faults are injected."""
 
     deployment: Deployment
     #: Instances that have a backend server.
     workers: Sequence[str]
-    #: Instances that callers use.
+    #: Instances to which callers send requests.
     entries: Sequence[str]
-    #: In front of the workers' peer addresses.
+    #: Relays in front of the peer addresses of the workers.
     relays: Sequence[Relay]
 
 
-class SoakFaults:
-    """Brings about faults that overlap, each on a process or link of its own."""
+class FaultInjector:
+    """Injects overlapping random faults, at most one per target at a time.
 
-    def __init__(self, targets: SoakTargets, seed: int) -> None:
+    A node and its backend server count as one target.
+    """
+
+    def __init__(self, targets: FaultTargets, seed: int) -> None:
         self._targets = targets
-        self._source = random.Random(seed)
-        self._busy: set[str] = set()
+        self._rng = random.Random(seed)
+        self._faulted_targets: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        #: Faults brought about, by name.
+        #: Number of injected faults by name. The summary of a run prints these
+        #: names, which are those of the methods without the leading ``_``.
         self.counts: Counter[str] = Counter()
 
     async def run(self, duration_s: float) -> None:
-        """Bring about faults for a time, then wait until all have ended."""
+        """Inject faults for a time, then wait until the last one has ended."""
         loop = asyncio.get_running_loop()
         end = loop.time() + duration_s
         while loop.time() < end:
-            await asyncio.sleep(self._source.expovariate(1 / INTERVAL_S))
-            if len(self._tasks) < MAX_AT_ONCE:
-                self._begin()
+            await asyncio.sleep(
+                self._rng.expovariate(1 / MEAN_FAULT_INTERVAL_S)
+            )
+            if len(self._tasks) < MAX_CONCURRENT_FAULTS:
+                self._inject()
         await asyncio.gather(*self._tasks)
 
-    def _begin(self) -> None:
-        fault = self._source.choice(
+    def _inject(self) -> None:
+        fault = self._rng.choice(
             (
                 self._kill_node,
                 self._kill_backend,
@@ -81,63 +88,71 @@
                 self._disturb_relay,
             )
         )
-        lasts_s = self._source.uniform(SHORTEST_S, LONGEST_S)
-        subject = self._choose_subject(fault)
-        if subject in self._busy:
+        fault_duration_s = self._rng.uniform(
+            MIN_FAULT_DURATION_S, MAX_FAULT_DURATION_S
+        )
+        target = self._choose_target(fault)
+        if target in self._faulted_targets:
             return
-        self._busy.add(subject)
+        self._faulted_targets.add(target)
         self.counts[fault.__name__.strip('_')] += 1
-        task = asyncio.create_task(self._last(fault, subject, lasts_s))
+        task = asyncio.create_task(
+            self._run_fault(fault, target, fault_duration_s)
+        )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _choose_subject(self, fault: Fault) -> str:
+    def _choose_target(self, fault: FaultAction) -> str:
         if fault == self._disturb_store:
             return 'store'
         if fault == self._disturb_relay:
-            return f'relay {self._source.randrange(len(self._targets.relays))}'
+            return f'relay {self._rng.randrange(len(self._targets.relays))}'
         if fault == self._kill_backend:
-            return self._source.choice(self._targets.workers)
+            return self._rng.choice(self._targets.workers)
         entries = list(self._targets.entries)
-        # Each of its requests must be answered.
-        entries.pop(STEADY_ENTRY)
-        return self._source.choice([*self._targets.workers, *entries])
+        # The checks require an answer to each request to this node.
+        entries.pop(FAULT_FREE_ENTRY_INDEX)
+        return self._rng.choice([*self._targets.workers, *entries])
 
-    async def _last(self, fault: Fault, subject: str, lasts_s: float) -> None:
+    async def _run_fault(
+        self, fault: FaultAction, target: str, fault_duration_s: float
+    ) -> None:
         try:
-            await fault(subject, lasts_s)
+            await fault(target, fault_duration_s)
         finally:
-            self._busy.discard(subject)
+            self._faulted_targets.discard(target)
 
-    async def _kill_node(self, instance: str, lasts_s: float) -> None:
-        await self._kill(f'node {instance}', lasts_s)
+    async def _kill_node(self, instance: str, fault_duration_s: float) -> None:
+        await self._kill(f'node {instance}', fault_duration_s)
         self._targets.deployment.start_node(instance)
 
-    async def _kill_backend(self, instance: str, lasts_s: float) -> None:
-        await self._kill(f'backend {instance}', lasts_s)
+    async def _kill_backend(
+        self, instance: str, fault_duration_s: float
+    ) -> None:
+        await self._kill(f'backend {instance}', fault_duration_s)
         self._targets.deployment.start_backend(instance)
 
-    async def _kill(self, name: str, lasts_s: float) -> None:
-        """Kill a process and wait before it is started again."""
+    async def _kill(self, name: str, fault_duration_s: float) -> None:
+        """Kill a process and keep it down for the duration of the fault."""
         self._targets.deployment.send_signal(name, signal.SIGKILL)
-        await self._wait_for_end(name)
-        await asyncio.sleep(lasts_s)
+        await self._wait_for_exit(name)
+        await asyncio.sleep(fault_duration_s)
 
     async def _stop_node(self, instance: str, _: float) -> None:
         name = f'node {instance}'
         self._targets.deployment.send_signal(name, signal.SIGTERM)
-        await self._wait_for_end(name)
+        await self._wait_for_exit(name)
         self._targets.deployment.start_node(instance)
 
-    async def _pause_node(self, instance: str, lasts_s: float) -> None:
+    async def _pause_node(self, instance: str, fault_duration_s: float) -> None:
         name = f'node {instance}'
         self._targets.deployment.send_signal(name, signal.SIGSTOP)
-        await asyncio.sleep(lasts_s)
+        await asyncio.sleep(fault_duration_s)
         self._targets.deployment.send_signal(name, signal.SIGCONT)
 
-    async def _disturb_store(self, _: str, lasts_s: float) -> None:
-        await self._set_store_faults(self._source.choice(_STORE_FAULTS))
-        await asyncio.sleep(lasts_s)
+    async def _disturb_store(self, _: str, fault_duration_s: float) -> None:
+        await self._set_store_faults(self._rng.choice(_STORE_FAULTS))
+        await asyncio.sleep(fault_duration_s)
         await self._set_store_faults({})
 
     async def _set_store_faults(self, faults: StoreFaults) -> None:
@@ -145,18 +160,20 @@
             self._targets.deployment.set_store_faults, faults
         )
 
-    async def _disturb_relay(self, subject: str, lasts_s: float) -> None:
-        relay = self._targets.relays[int(subject.split()[1])]
-        kind = self._source.choice(('silence', 'reset', 'delay'))
+    async def _disturb_relay(
+        self, target: str, fault_duration_s: float
+    ) -> None:
+        relay = self._targets.relays[int(target.split()[1])]
+        kind = self._rng.choice(('silence', 'reset', 'delay'))
         if kind == 'silence':
             relay.silence()
         elif kind == 'reset':
             relay.reset()
         else:
-            relay.delay_s = DELAY_S
-            await asyncio.sleep(lasts_s)
+            relay.delay_s = RELAY_DELAY_S
+            await asyncio.sleep(fault_duration_s)
             relay.delay_s = 0.0
 
-    async def _wait_for_end(self, name: str) -> None:
+    async def _wait_for_exit(self, name: str) -> None:
         while not self._targets.deployment.has_ended(name):
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_POLL_INTERVAL_S)
--- a/merlintrail/bench/fault_soak.py
+++ b/merlintrail/bench/fault_soak.py
@@ -1,4 +1,7 @@
-"""A soak with faults: ``python -m merlintrail.bench.fault_soak``."""
+"""Soak test with fault injection.
+
+Run it with ``python -m merlintrail.bench.fault_soak``.
+"""
 
 import signal
 import sys
@@ -10,28 +13,32 @@
 
 from merlintrail.bench._fault_soak import run_soak
 
-_SEED: Final = flags.DEFINE_integer('seed', 1, 'First seed.')
-_SEEDS: Final = flags.DEFINE_integer('seeds', 1, 'Number of seeds.')
-_DURATION: Final = flags.DEFINE_float('duration', 10.0, 'Seconds of faults.')
+_SEED: Final = flags.DEFINE_integer('seed', 1, 'Seed of the first run.')
+_SEEDS: Final = flags.DEFINE_integer(
+    'seeds', 1, 'Number of consecutive seeds to run.'
+)
+_DURATION: Final = flags.DEFINE_float(
+    'duration', 10.0, 'Seconds during which faults are injected.'
+)
 _KEEP: Final = flags.DEFINE_string(
-    'keep', None, 'Folder to which the logs of a seed with findings go.'
+    'keep', None, 'Folder that receives the logs of each seed with findings.'
 )
 
 
-def _end(*_: Any) -> None:
-    """End at SIGTERM as at the end of a run, with every process."""
+def _exit_on_sigterm(*_: Any) -> None:
+    """Raise ``SystemExit`` so that all processes of the run are stopped."""
     sys.exit(1)
 
 
 def _run(_: Sequence[str]) -> int:
-    signal.signal(signal.SIGTERM, _end)
-    failed = 0
+    signal.signal(signal.SIGTERM, _exit_on_sigterm)
+    failed_seeds = 0
     for seed in range(_SEED.value, _SEED.value + _SEEDS.value):
-        found = run_soak(seed, _DURATION.value, _KEEP.value)
-        failed += bool(found.findings)
-        sys.stdout.write(f'{orjson.dumps(found.summarise()).decode()}\n')
+        result = run_soak(seed, _DURATION.value, _KEEP.value)
+        failed_seeds += bool(result.findings)
+        sys.stdout.write(f'{orjson.dumps(result.summarise()).decode()}\n')
         sys.stdout.flush()
-    return 1 if failed else 0
+    return 1 if failed_seeds else 0
 
 
 if __name__ == '__main__':
--- a/merlintrail/bench/soak.py
+++ b/merlintrail/bench/soak.py
@@ -40,7 +40,7 @@
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self._deployment = deployment
-        self._source = random.Random(seed)
+        self._rng = random.Random(seed)
         self._paused: dict[str, float] = {}
         self._outage_until = 0.0
         self._changes = 0
@@ -61,11 +61,11 @@
         )
         while time.monotonic() < end:
             self._end_due(time.monotonic())
-            action = self._source.choice(actions)
+            action = self._rng.choice(actions)
             name = action.__name__.strip('_')
             self.faults[name] = self.faults.get(name, 0) + 1
             action()
-            time.sleep(FAULT_INTERVAL_S * self._source.uniform(0.5, 1.5))
+            time.sleep(FAULT_INTERVAL_S * self._rng.uniform(0.5, 1.5))
         self._end_due(float('inf'))
 
     def _choose(self) -> str:
@@ -74,7 +74,7 @@
             for name in self._deployment.workers
             if name not in self._paused
         ]
-        return self._source.choice(names[1:])
+        return self._rng.choice(names[1:])
 
     def _kill(self) -> None:
         name = self._choose()
@@ -85,7 +85,7 @@
     def _pause(self) -> None:
         name = self._choose()
         self._deployment.send_signal(f'node {name}', signal.SIGSTOP)
-        pause_s = self._source.uniform(0.5, MAX_PAUSE_S)
+        pause_s = self._rng.uniform(0.5, MAX_PAUSE_S)
         self._paused[name] = time.monotonic() + pause_s
 
     def _change(self) -> None:
@@ -101,7 +101,7 @@
 
     def _stop_store(self) -> None:
         self._deployment.set_store_faults({'is_down': True})
-        outage_s = self._source.uniform(1, MAX_OUTAGE_S)
+        outage_s = self._rng.uniform(1, MAX_OUTAGE_S)
         self._outage_until = time.monotonic() + outage_s
 
     def _end_due(self, now: float) -> None:
--- a/merlintrail/bench/tests/__init__.py
+++ b/merlintrail/bench/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the benches."""
+"""Tests of the benchmarks and soak tests."""
