--- a/merlintrail/bench/__main__.py
+++ b/merlintrail/bench/__main__.py
@@ -33,8 +33,8 @@
     names = list(_BENCHES) if _NAME.value == 'all' else [_NAME.value]
     for name in names:
         if name not in _BENCHES:
-            known = ', '.join(sorted(_BENCHES))
-            sys.stderr.write(f'no bench {name!r}; there are: {known}\n')
+            available = ', '.join(sorted(_BENCHES))
+            sys.stderr.write(f'no bench {name!r}; there are: {available}\n')
             return 2
         _BENCHES[name](_SEED.value)
     return 0
--- a/merlintrail/bench/_capacity.py
+++ b/merlintrail/bench/_capacity.py
@@ -9,7 +9,7 @@
 
 from merlintrail.bench._figures import Benches, Figure, print_figure
 from merlintrail.bench._latency import (
-    build_fleet,
+    build_fleet_plans,
     measure_idle_cost,
     print_idle_cost,
     start_deployment,
@@ -29,15 +29,15 @@
 )
 
 #: Sizes at which slopes are measured.
-SIZES: Final = (24, 60, 120)
+FLEET_SIZES: Final = (24, 60, 120)
 #: Size of the fleet within two years.
-NODES: Final = 1800
-DATA_CENTRES: Final = 14
-SERVICES: Final = 49
-REGIONS: Final = 6
+FULL_FLEET_SIZE: Final = 1800
+DATA_CENTRE_COUNT: Final = 14
+SERVICE_COUNT: Final = 49
+REGION_COUNT: Final = 6
 #: Seconds after the loss of a data centre that are looked at.
-LOSS_S: Final = 6.0
-_CHOICES: Final = 2000
+LOSS_WINDOW_S: Final = 6.0
+_CHOICE_COUNT: Final = 2000
 _MS_PER_S: Final = 1000
 _BYTES_PER_MB: Final = 1e6
 _BYTES_PER_KB: Final = 1e3
@@ -45,7 +45,7 @@
 
 def bench_slopes(_: int) -> None:
     """The idle cost of a node at three sizes of the fleet."""
-    for size in SIZES:
+    for size in FLEET_SIZES:
         print_idle_cost(f'slopes.nodes_{size}', measure_idle_cost(size))
 
 
@@ -57,12 +57,13 @@
             1800000000000 + number,
             7,
             MemberStatus.ALIVE,
-            f'data-centre-{number % DATA_CENTRES}',
+            f'data-centre-{number % DATA_CENTRE_COUNT}',
             f'10.{number % 14}.{number // 256}.{number % 256}:7300',
             f'10.{number % 14}.{number // 256}.{number % 256}:7301',
             (
                 ServiceOffer(
-                    f'service-{number // DATA_CENTRES % SERVICES}', 140
+                    f'service-{number // DATA_CENTRE_COUNT % SERVICE_COUNT}',
+                    140,
                 ),
             ),
         )
@@ -74,7 +75,7 @@
     """Memory and processor time of a node's tables at full size."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    members = build_members(NODES)
+    members = build_members(FULL_FLEET_SIZE)
     table = MemberTable(time.monotonic)
     routing = _create_routing(table)
     table.merge(members)
@@ -90,25 +91,31 @@
 
 def _measure_tables(members: list[Member], routing: RoutingTable) -> None:
     other = MemberTable(time.monotonic)
-    merge_s = _time_work(lambda: other.merge(members))
-    print_figure(Figure('tables.merge_us', merge_s / NODES * 1e6, 'us'))
-    refresh_s = _time_work(lambda: choose_neighbours(members[0], members))
-    print_figure(Figure('tables.neighbours_ms', refresh_s * _MS_PER_S, 'ms'))
-    choice_s = _time_work(lambda: _choose_often(routing)) / _CHOICES
+    merge_s = _measure_cpu_s(lambda: other.merge(members))
+    print_figure(
+        Figure('tables.merge_us', merge_s / FULL_FLEET_SIZE * 1e6, 'us')
+    )
+    neighbours_s = _measure_cpu_s(
+        lambda: choose_neighbours(members[0], members)
+    )
+    print_figure(Figure('tables.neighbours_ms', neighbours_s * _MS_PER_S, 'ms'))
+    choice_s = (
+        _measure_cpu_s(lambda: _choose_repeatedly(routing)) / _CHOICE_COUNT
+    )
     print_figure(Figure('tables.choice_us', choice_s * 1e6, 'us'))
 
 
-def _time_work(work: Callable[[], object]) -> float:
+def _measure_cpu_s(work: Callable[[], object]) -> float:
     """Return the processor time of work in seconds."""
     started_at = time.process_time()
     work()
     return time.process_time() - started_at
 
 
-def _choose_often(routing: RoutingTable) -> None:
-    for number in range(_CHOICES):
+def _choose_repeatedly(routing: RoutingTable) -> None:
+    for number in range(_CHOICE_COUNT):
         choice = routing.choose(
-            Demand(f'service-{number % SERVICES}', 64, 5), ()
+            Demand(f'service-{number % SERVICE_COUNT}', 64, 5), ()
         )
         assert isinstance(choice, Choice)
 
@@ -118,57 +125,57 @@
     routing = RoutingTable(place, time.monotonic, random.Random(1))
     routing.update_regions(
         {
-            f'data-centre-{number}': f'region-{number % REGIONS}'
-            for number in range(DATA_CENTRES)
+            f'data-centre-{number}': f'region-{number % REGION_COUNT}'
+            for number in range(DATA_CENTRE_COUNT)
         }
     )
     table.add_listener(routing.update_member)
     return routing
 
 
-class Loss(NamedTuple):
+class DataCentreLoss(NamedTuple):
     """What the loss of a data centre showed."""
 
-    left_s: float
+    detection_s: float
     #: Control bytes a second of each node that is left.
-    rates: list[float]
+    control_bytes_per_s: list[float]
 
 
 def bench_data_centre_loss(_: int) -> None:
     """Traffic and time when a data centre goes at once, at 120 nodes."""
-    deployment = start_deployment(build_fleet(SIZES[-1], 6), 6)
+    deployment = start_deployment(build_fleet_plans(FLEET_SIZES[-1], 6), 6)
     try:
         time.sleep(10)
-        loss = _lose_data_centre(deployment)
+        loss = _kill_data_centre(deployment)
     finally:
         deployment.stop()
     prefix = 'data_centre_loss'
-    mean = sum(loss.rates) / len(loss.rates)
-    highest = max(loss.rates)
-    print_figure(Figure(f'{prefix}.left_s', loss.left_s, 's', 5))
+    mean = sum(loss.control_bytes_per_s) / len(loss.control_bytes_per_s)
+    highest = max(loss.control_bytes_per_s)
+    print_figure(Figure(f'{prefix}.left_s', loss.detection_s, 's', 5))
     print_figure(Figure(f'{prefix}.bytes_per_s', mean, 'B/s', 10000))
     print_figure(Figure(f'{prefix}.highest_bytes_per_s', highest, 'B/s', 10000))
 
 
-def _lose_data_centre(deployment: Deployment) -> Loss:
-    lost = {
+def _kill_data_centre(deployment: Deployment) -> DataCentreLoss:
+    killed = {
         name
         for name, worker in deployment.workers.items()
         if worker.data_centre == 'dc-5'
     }
     before = _read_control_bytes(deployment)
     started_at = time.monotonic()
-    for victim in lost:
+    for victim in killed:
         deployment.send_signal(f'node {victim}', signal.SIGKILL)
-    left_s = _wait_until_left(deployment, lost)
-    time.sleep(max(0.0, LOSS_S - (time.monotonic() - started_at)))
+    detection_s = _wait_until_detected(deployment, killed)
+    time.sleep(max(0.0, LOSS_WINDOW_S - (time.monotonic() - started_at)))
     after = _read_control_bytes(deployment)
     elapsed_s = time.monotonic() - started_at
-    return Loss(
-        left_s,
+    return DataCentreLoss(
+        detection_s,
         [
-            (sent - before[instance]) / elapsed_s
-            for instance, sent in after.items()
+            (total - before[instance]) / elapsed_s
+            for instance, total in after.items()
             if instance in before
         ],
     )
@@ -183,21 +190,25 @@
     }
 
 
-def _wait_until_left(deployment: Deployment, lost: set[str]) -> float:
+def _wait_until_detected(deployment: Deployment, killed: set[str]) -> float:
     """Return the seconds until sampled nodes route to none of the lost."""
     started_at = time.monotonic()
-    sample = [name for name in deployment.workers if name not in lost][::9]
+    sampled = [name for name in deployment.workers if name not in killed][::9]
     while time.monotonic() - started_at < 20:
-        if not any(_sees_any(deployment, name, lost) for name in sample):
+        if not any(
+            _reports_any_alive(deployment, name, killed) for name in sampled
+        ):
             break
         time.sleep(0.05)
     return time.monotonic() - started_at
 
 
-def _sees_any(deployment: Deployment, name: str, lost: set[str]) -> bool:
+def _reports_any_alive(
+    deployment: Deployment, name: str, killed: set[str]
+) -> bool:
     members = deployment.ask_admin('GET', '/v1/members', instance=name)
     return any(
-        member['node_id'] in lost and member['status'] == 'alive'
+        member['node_id'] in killed and member['status'] == 'alive'
         for member in members
     )
 
--- a/merlintrail/bench/_fleet.py
+++ b/merlintrail/bench/_fleet.py
@@ -8,30 +8,32 @@
 from merlintrail.bench._figures import Benches, Figure, print_figure
 from merlintrail.bench._latency import (
     build_document,
-    build_fleet,
+    build_fleet_plans,
     start_deployment,
 )
 from merlintrail.lab.processes import Deployment
 
 #: Nodes of the smaller and the larger fleet.
-SMALL_FLEET: Final = 24
-LARGE_FLEET: Final = 200
-DATA_CENTRES: Final = 6
+SMALL_FLEET_SIZE: Final = 24
+LARGE_FLEET_SIZE: Final = 200
+DATA_CENTRE_COUNT: Final = 6
 #: Size for which figures are worked out.
-FULL_FLEET: Final = 1800
+FULL_FLEET_SIZE: Final = 1800
 #: Data centres at that size.
-FULL_DATA_CENTRES: Final = 14
+FULL_DATA_CENTRE_COUNT: Final = 14
 #: Seconds of a measurement in calm.
-CALM_S: Final = 10.0
+STEADY_MEASUREMENT_S: Final = 10.0
 #: Seconds between looks at the fleet.
-LOOK_INTERVAL_S: Final = 0.05
+POLL_INTERVAL_S: Final = 0.05
 #: Changes applied one after the other.
-CHANGES: Final = 10
-_MAX_WAIT_S: Final = 30.0
+CHANGE_COUNT: Final = 10
+_WAIT_TIMEOUT_S: Final = 30.0
 
 
 def _start_fleet(size: int) -> Deployment:
-    deployment = start_deployment(build_fleet(size, DATA_CENTRES), DATA_CENTRES)
+    deployment = start_deployment(
+        build_fleet_plans(size, DATA_CENTRE_COUNT), DATA_CENTRE_COUNT
+    )
     time.sleep(5)
     return deployment
 
@@ -40,50 +42,58 @@
     """Return the seconds until a condition holds."""
     started_at = time.monotonic()
     while not condition():
-        if time.monotonic() - started_at > _MAX_WAIT_S:
-            return _MAX_WAIT_S
-        time.sleep(LOOK_INTERVAL_S)
+        if time.monotonic() - started_at > _WAIT_TIMEOUT_S:
+            return _WAIT_TIMEOUT_S
+        time.sleep(POLL_INTERVAL_S)
     return time.monotonic() - started_at
 
 
-def _sample(deployment: Deployment, *, without: str = '') -> list[str]:
+def _sample_instances(
+    deployment: Deployment, *, without: str = ''
+) -> list[str]:
     """Return some instances, spread over the data centres."""
     names = [name for name in deployment.workers if name != without]
     return names[:: max(1, len(names) // 12)]
 
 
-def _all_see(deployment: Deployment, name: str, status: str) -> bool:
-    for instance in _sample(deployment, without=name):
+def _all_report_status(deployment: Deployment, name: str, status: str) -> bool:
+    for instance in _sample_instances(deployment, without=name):
         members = deployment.ask_admin('GET', '/v1/members', instance=instance)
-        seen = [
+        reported = [
             member['status'] for member in members if member['node_id'] == name
         ]
-        if seen != [status]:
+        if reported != [status]:
             return False
     return True
 
 
 def bench_membership(_: int) -> None:
     """Time until a failed node is left, and until a new one is known."""
-    deployment = _start_fleet(SMALL_FLEET)
+    deployment = _start_fleet(SMALL_FLEET_SIZE)
     try:
         victim = 'node-9'
         deployment.send_signal(f'node {victim}', signal.SIGKILL)
-        left_s = _wait_until(lambda: not _any_sees_alive(deployment, victim))
+        detection_s = _wait_until(
+            lambda: not _any_reports_alive(deployment, victim)
+        )
         deployment.wait_for_end(f'node {victim}')
         time.sleep(3)
         deployment.start_node(victim)
-        started_s = _wait_until(lambda: _is_up(deployment, victim))
-        known_s = _wait_until(lambda: _all_see(deployment, victim, 'alive'))
+        process_start_s = _wait_until(
+            lambda: _is_admin_api_up(deployment, victim)
+        )
+        propagation_s = _wait_until(
+            lambda: _all_report_status(deployment, victim, 'alive')
+        )
     finally:
         deployment.stop()
-    print_figure(Figure('membership.left_s', left_s, 's', 5))
-    print_figure(Figure('membership.known_s', known_s, 's', 2))
-    print_figure(Figure('membership.process_start_s', started_s, 's'))
+    print_figure(Figure('membership.left_s', detection_s, 's', 5))
+    print_figure(Figure('membership.known_s', propagation_s, 's', 2))
+    print_figure(Figure('membership.process_start_s', process_start_s, 's'))
 
 
-def _any_sees_alive(deployment: Deployment, name: str) -> bool:
-    for instance in _sample(deployment, without=name):
+def _any_reports_alive(deployment: Deployment, name: str) -> bool:
+    for instance in _sample_instances(deployment, without=name):
         members = deployment.ask_admin('GET', '/v1/members', instance=instance)
         for member in members:
             if member['node_id'] == name and member['status'] == 'alive':
@@ -91,7 +101,7 @@
     return False
 
 
-def _is_up(deployment: Deployment, name: str) -> bool:
+def _is_admin_api_up(deployment: Deployment, name: str) -> bool:
     try:
         deployment.ask_admin('GET', '/v1/status', instance=name)
     except Exception:
@@ -99,85 +109,85 @@
     return True
 
 
-def _is_everywhere(deployment: Deployment, generation: int) -> bool:
+def _is_in_force_everywhere(deployment: Deployment, generation: int) -> bool:
     fleet = deployment.ask_admin('GET', '/v1/fleet')
     return all(status.get('generation', 0) >= generation for status in fleet)
 
 
 def _apply_changes(deployment: Deployment) -> list[float]:
     """Apply changes one by one; return the seconds that each took."""
-    seconds = []
-    for number in range(CHANGES):
-        document = build_document(DATA_CENTRES)
+    durations_s = []
+    for number in range(CHANGE_COUNT):
+        document = build_document(DATA_CENTRE_COUNT)
         document['retry_budget'] = {'share': 0.01 * (number + 1)}
-        seconds.append(_time_change(deployment, document))
-    return seconds
+        durations_s.append(_time_change(deployment, document))
+    return durations_s
 
 
 def _time_change(deployment: Deployment, document: Mapping[str, Any]) -> float:
     started_at = time.monotonic()
     generation = deployment.apply_configuration(document)
-    _wait_until(lambda: _is_everywhere(deployment, generation))
+    _wait_until(lambda: _is_in_force_everywhere(deployment, generation))
     return time.monotonic() - started_at
 
 
 def bench_configuration(_: int) -> None:
     """Time until a change is in force on every node, at two sizes."""
-    for size in (SMALL_FLEET, LARGE_FLEET):
+    for size in (SMALL_FLEET_SIZE, LARGE_FLEET_SIZE):
         deployment = _start_fleet(size)
         try:
-            seconds = _apply_changes(deployment)
+            durations_s = _apply_changes(deployment)
             burst_s = _apply_burst(deployment)
         finally:
             deployment.stop()
         name = f'configuration.in_force_{size}'
-        print_figure(Figure(f'{name}_max_s', max(seconds), 's', 4))
+        print_figure(Figure(f'{name}_max_s', max(durations_s), 's', 4))
         print_figure(Figure(f'{name}_burst_s', burst_s, 's', 4))
 
 
 def _apply_burst(deployment: Deployment) -> float:
     """Apply ten changes as fast as they go; return the lag of the last."""
     generation = 0
-    for number in range(CHANGES):
-        document = build_document(DATA_CENTRES)
+    for number in range(CHANGE_COUNT):
+        document = build_document(DATA_CENTRE_COUNT)
         document['retry_budget'] = {'share': 0.02 * (number + 1)}
         generation = deployment.apply_configuration(document)
-    return _wait_until(lambda: _is_everywhere(deployment, generation))
+    return _wait_until(lambda: _is_in_force_everywhere(deployment, generation))
 
 
-def _measure_store(
-    deployment: Deployment, seconds: float
+def _measure_store_rates(
+    deployment: Deployment, duration_s: float
 ) -> Mapping[str, float]:
     """Return the store's calls a second by kind."""
     before = deployment.read_store_counts()
-    time.sleep(seconds)
+    time.sleep(duration_s)
     after = deployment.read_store_counts()
     return {
-        kind: (count - before.get(kind, 0)) / seconds
+        kind: (count - before.get(kind, 0)) / duration_s
         for kind, count in after.items()
     }
 
 
 def bench_store_load(_: int) -> None:
     """Calls to the store in calm and while it comes back, at three sizes."""
-    for size in (SMALL_FLEET, 60, LARGE_FLEET):
+    for size in (SMALL_FLEET_SIZE, 60, LARGE_FLEET_SIZE):
         deployment = _start_fleet(size)
         try:
             time.sleep(20)
-            calm = _measure_store(deployment, CALM_S)
+            steady = _measure_store_rates(deployment, STEADY_MEASUREMENT_S)
             deployment.set_store_faults({'is_down': True})
             time.sleep(10)
             deployment.set_store_faults({})
-            back = _measure_store(deployment, 5)
+            recovering = _measure_store_rates(deployment, 5)
         finally:
             deployment.stop()
-        _print_store_load(size, calm, back)
+        _print_store_load(size, steady, recovering)
 
 
 def _print_store_load(
-    size: int, calm: Mapping[str, float], back: Mapping[str, float]
+    size: int, steady: Mapping[str, float], recovering: Mapping[str, float]
 ) -> None:
-    for name, rates in (('calm', calm), ('back', back)):
+    for name, rates in (('calm', steady), ('back', recovering)):
         writes = rates.get('write', 0) + rates.get('leases', 0)
         reads = rates.get('read', 0) + rates.get('watch', 0)
         prefix = f'store_load.{name}_{size}'
--- a/merlintrail/bench/_forwarder.py
+++ b/merlintrail/bench/_forwarder.py
@@ -29,10 +29,10 @@
 
 _PLAN: Final = flags.DEFINE_string('plan', '{}', 'Plan of the forwarder.')
 #: Tries beyond the first, at each hop.
-RETRIES: Final = 3
+MAX_RETRIES: Final = 3
 #: Seconds for a call without a deadline.
 DEFAULT_TIMEOUT_S: Final = 2.0
-_FIRST_FAILURE: Final = 500
+_MIN_FAILURE_STATUS: Final = 500
 _MS_PER_S: Final = 1000
 
 
@@ -52,7 +52,7 @@
     def __init__(self, plan: ForwarderPlan) -> None:
         self._plan = plan
         self._pool = create_pool()
-        self._turns = {
+        self._round_robin = {
             service: itertools.cycle(addresses)
             for service, addresses in plan.table.items()
         }
@@ -66,12 +66,12 @@
             return HttpResponse(200, (), b'{}')
         _, service, rest = request.target.split('/', 2)
         answer = HttpResponse(503, (), b'')
-        for attempt in range(RETRIES + 1):
+        for attempt in range(MAX_RETRIES + 1):
             self._retries += 1 if attempt else 0
             answer = await self._send(
-                next(self._turns[service]), f'/{rest}', request
+                next(self._round_robin[service]), f'/{rest}', request
             )
-            if answer.status < _FIRST_FAILURE:
+            if answer.status < _MIN_FAILURE_STATUS:
                 break
         return answer
 
--- a/merlintrail/bench/_latency.py
+++ b/merlintrail/bench/_latency.py
@@ -16,13 +16,13 @@
 from merlintrail.transport import ConnectionPool, HttpResponse, create_pool
 
 #: Calls a second through each node.
-RATE: Final = 250.0
+CALLS_PER_S: Final = 250.0
 #: Seconds of one measurement.
-DURATION_S: Final = 12.0
+MEASUREMENT_S: Final = 12.0
 #: Seconds before a measurement counts.
 WARMUP_S: Final = 2.0
 #: Seconds over which the idle cost is measured.
-IDLE_S: Final = 15.0
+IDLE_MEASUREMENT_S: Final = 15.0
 _BODY: Final = b'.' * 512
 _MS_PER_S: Final = 1000
 _BYTES_PER_MB: Final = 1e6
@@ -113,13 +113,13 @@
     async def run(self, addresses: dict[str, str], rate: float) -> None:
         """Send to every address at a rate each."""
         loop = asyncio.get_running_loop()
-        source = random.Random(1)
+        rng = random.Random(1)
         started_at = loop.time()
         due = started_at
         tasks = []
-        while due < started_at + DURATION_S + WARMUP_S:
+        while due < started_at + MEASUREMENT_S + WARMUP_S:
             for name, address in addresses.items():
-                due += source.expovariate(rate * len(addresses))
+                due += rng.expovariate(rate * len(addresses))
                 await asyncio.sleep(max(0.0, due - loop.time()))
                 self.sent[name] += 1
                 is_counted = due > started_at + WARMUP_S
@@ -131,30 +131,30 @@
     def compute_quantile(self, name: str, quantile: float) -> float:
         """Return a quantile in milliseconds."""
         ordered = sorted(self.latencies[name])
-        place = min(len(ordered) - 1, int(len(ordered) * quantile))
-        return ordered[place] * _MS_PER_S
+        index = min(len(ordered) - 1, int(len(ordered) * quantile))
+        return ordered[index] * _MS_PER_S
 
     async def _call(self, name: str, address: str, is_counted: bool) -> None:
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        clock_at = time.perf_counter()
+        timer_started_at = time.perf_counter()
         answer = await self._pool.exchange(
             address, 'POST', '/echo/call', (('host', 'x'),), _BODY
         )
-        elapsed_s = time.perf_counter() - clock_at
+        elapsed_s = time.perf_counter() - timer_started_at
         if is_counted and isinstance(answer, HttpResponse):
             assert answer.status == 200, (answer, started_at)
             self.latencies.setdefault(name, []).append(elapsed_s)
 
 
-_ECHO: Final = {'service': 'echo', 'slots': 64, 'service_ms': 0}
+_ECHO_BACKEND: Final = {'service': 'echo', 'slots': 64, 'service_ms': 0}
 
 
-def _start_pair() -> Deployment:
+def _start_node_pair() -> Deployment:
     return start_deployment(
         [
             WorkerPlan('front', 'dc-0', None),
-            WorkerPlan('back', 'dc-1', _ECHO),
+            WorkerPlan('back', 'dc-1', _ECHO_BACKEND),
         ],
         2,
     )
@@ -162,14 +162,14 @@
 
 def bench_added_latency(_: int) -> None:
     """Two nodes in line against direct calls, interleaved."""
-    deployment = _start_pair()
+    deployment = _start_node_pair()
     try:
         prober = CallProber(create_pool())
         addresses = {
             'direct': deployment.workers['back'].backend_address,
             'nodes': deployment.workers['front'].call_address,
         }
-        uvloop.run(prober.run(addresses, RATE))
+        uvloop.run(prober.run(addresses, CALLS_PER_S))
     finally:
         deployment.stop()
     for name, quantile, target in (('p50', 0.5, None), ('p99', 0.99, 0.43)):
@@ -188,21 +188,21 @@
 
 def bench_call_cpu(_: int) -> None:
     """Processor time of one call at each of two nodes."""
-    deployment = _start_pair()
+    deployment = _start_node_pair()
     try:
-        identifiers = {
+        process_ids = {
             name: deployment.read_process_id(f'node {name}')
             for name in ('front', 'back')
         }
         address = deployment.workers['front'].call_address
         prober = CallProber(create_pool())
-        before = {name: read_cpu_s(pid) for name, pid in identifiers.items()}
-        uvloop.run(prober.run({'nodes': address}, RATE * 2))
-        after = {name: read_cpu_s(pid) for name, pid in identifiers.items()}
+        before = {name: read_cpu_s(pid) for name, pid in process_ids.items()}
+        uvloop.run(prober.run({'nodes': address}, CALLS_PER_S * 2))
+        after = {name: read_cpu_s(pid) for name, pid in process_ids.items()}
     finally:
         deployment.stop()
-    calls = RATE * 2 * (DURATION_S + WARMUP_S)
-    for name in identifiers:
+    calls = CALLS_PER_S * 2 * (MEASUREMENT_S + WARMUP_S)
+    for name in process_ids:
         print_figure(
             Figure(
                 f'call_cpu.{name}_ms',
@@ -212,7 +212,7 @@
         )
 
 
-def build_fleet(size: int, data_centres: int) -> list[WorkerPlan]:
+def build_fleet_plans(size: int, data_centres: int) -> list[WorkerPlan]:
     """Build nodes without backend servers in several data centres."""
     return [
         WorkerPlan(f'node-{number}', f'dc-{number % data_centres}', None)
@@ -230,25 +230,25 @@
 
 def measure_idle_cost(size: int) -> IdleCost:
     """Measure the idle cost at a number of nodes."""
-    deployment = start_deployment(build_fleet(size, 6), 6)
+    deployment = start_deployment(build_fleet_plans(size, 6), 6)
     try:
         time.sleep(8)
-        identifiers = [
+        process_ids = [
             deployment.read_process_id(f'node {instance}')
             for instance in deployment.workers
         ]
-        cpu_before = sum(read_cpu_s(pid) for pid in identifiers)
+        cpu_before = sum(read_cpu_s(pid) for pid in process_ids)
         bytes_before = _sum_control_bytes(deployment)
-        time.sleep(IDLE_S)
-        cpu_after = sum(read_cpu_s(pid) for pid in identifiers)
+        time.sleep(IDLE_MEASUREMENT_S)
+        cpu_after = sum(read_cpu_s(pid) for pid in process_ids)
         bytes_after = _sum_control_bytes(deployment)
-        memory = max(read_memory_bytes(pid) for pid in identifiers)
+        memory = max(read_memory_bytes(pid) for pid in process_ids)
     finally:
         deployment.stop()
     return IdleCost(
-        (cpu_after - cpu_before) / IDLE_S / size,
+        (cpu_after - cpu_before) / IDLE_MEASUREMENT_S / size,
         memory / _BYTES_PER_MB,
-        (bytes_after - bytes_before) / IDLE_S / size,
+        (bytes_after - bytes_before) / IDLE_MEASUREMENT_S / size,
     )
 
 
--- a/merlintrail/bench/_libraries.py
+++ b/merlintrail/bench/_libraries.py
@@ -13,9 +13,9 @@
 from merlintrail.transport import create_pool
 
 #: Calls a second, direct and through the forwarders each.
-RATE: Final = 250.0
+CALLS_PER_S: Final = 250.0
 #: Seconds until the processes listen.
-START_S: Final = 2.0
+STARTUP_S: Final = 2.0
 _MS_PER_S: Final = 1000
 
 
@@ -33,9 +33,9 @@
         _start_forwarder(deployment, 'httptools', echo, '')
         _start_forwarder(deployment, library, second, echo)
         _start_forwarder(deployment, library, first, second)
-        time.sleep(START_S)
+        time.sleep(STARTUP_S)
         before = _sum_cpu(deployment, first, second)
-        uvloop.run(prober.run({'direct': echo, 'line': first}, RATE))
+        uvloop.run(prober.run({'direct': echo, 'line': first}, CALLS_PER_S))
         cpu_s = _sum_cpu(deployment, first, second) - before
     finally:
         deployment.stop()
--- a/merlintrail/bench/_outcomes.py
+++ b/merlintrail/bench/_outcomes.py
@@ -16,10 +16,10 @@
 from merlintrail.load import LoadGenerator, LoadKind, LoadResult
 
 #: Requests a second while connections go silent.
-SILENT_RATE: Final = 100.0
+REQUESTS_PER_S: Final = 100.0
 #: Seconds of load before and after they do.
-BEFORE_S: Final = 3.0
-AFTER_S: Final = 4.0
+BEFORE_DROP_S: Final = 3.0
+AFTER_DROP_S: Final = 4.0
 
 
 def bench_ledger(_: int) -> None:
@@ -40,28 +40,28 @@
 
 def _measure_ledger(deployment: Deployment, rate: int) -> None:
     entries = [worker.call_address for worker in deployment.workers.values()]
-    seconds = 8.0
+    duration_s = 8.0
 
     async def send(kind: LoadKind) -> Any:
         generator = LoadGenerator(entries, random.Random(rate))
-        return await generator.run([kind], seconds)
+        return await generator.run([kind], duration_s)
 
-    plain = uvloop.run(send(LoadKind('call', '/echo/call', rate, 1000)))
+    unkeyed = uvloop.run(send(LoadKind('call', '/echo/call', rate, 1000)))
     before = deployment.read_store_counts()
     keyed = uvloop.run(
         send(LoadKind('once', '/echo/once', rate, 3000, is_keyed=True))
     )
     after = deployment.read_store_counts()
-    writes = (after['write'] - before.get('write', 0)) / seconds
+    writes = (after['write'] - before.get('write', 0)) / duration_s
     print_figure(Figure(f'ledger.writes_per_s_at_{rate}', writes, '1/s', 300))
     for name, quantile in (('p50', 0.5), ('p99', 0.99)):
         print_figure(
             Figure(
                 f'ledger.added_{name}_ms_at_{rate}',
                 keyed.compute_quantile_ms(quantile)
-                - plain.compute_quantile_ms(quantile),
+                - unkeyed.compute_quantile_ms(quantile),
                 'ms',
-                baseline=plain.compute_quantile_ms(quantile),
+                baseline=unkeyed.compute_quantile_ms(quantile),
             )
         )
     print_figure(
@@ -91,10 +91,10 @@
     """Drain a node under load: nothing is cut, nothing arrives later."""
     deployment = _start_echo_fleet()
     try:
-        late, result = uvloop.run(_drain_under_load(deployment))
+        late_calls, result = uvloop.run(_drain_under_load(deployment))
     finally:
         deployment.stop()
-    print_figure(Figure('drain.calls_after_2_s', late, 'calls', 0))
+    print_figure(Figure('drain.calls_after_2_s', late_calls, 'calls', 0))
     print_figure(
         Figure(
             'drain.cut_requests',
@@ -116,18 +116,22 @@
     await asyncio.sleep(3)
     deployment.send_signal('node echo-1', signal.SIGTERM)
     await asyncio.sleep(2)
-    begun = await loop.run_in_executor(None, _count_begun, deployment)
+    begun_before = await loop.run_in_executor(
+        None, _count_begun_requests, deployment
+    )
     await asyncio.sleep(3)
-    late = await loop.run_in_executor(None, _count_begun, deployment)
-    return late - begun, await load
+    begun_after = await loop.run_in_executor(
+        None, _count_begun_requests, deployment
+    )
+    return begun_after - begun_before, await load
 
 
-def _count_begun(deployment: Deployment) -> int:
+def _count_begun_requests(deployment: Deployment) -> int:
     counts = deployment.control_backend('echo-1')['counts']
     return int(counts.get('begun', 0))
 
 
-async def _stop_under_load(
+async def _run_load_through_planned_stop(
     deployment: Deployment, starts_in_s: float
 ) -> tuple[LoadResult, bool]:
     """Let a data centre's window come under load.
@@ -155,38 +159,44 @@
     ]
     load = loop.create_task(generator.run(kinds, starts_in_s + 3))
     await asyncio.sleep(max(0.0, starts_at.timestamp() - time.time()))
-    are_ended = all(
+    have_exited = all(
         deployment.has_ended(f'node {name}') for name in ('echo-1', 'echo-3')
     )
-    return await load, are_ended
+    return await load, have_exited
 
 
 def bench_planned_stop(_: int) -> None:
     """A data centre's window under load: nothing is cut, nodes end first."""
     deployment = _start_echo_fleet()
     try:
-        result, are_ended = uvloop.run(_stop_under_load(deployment, 14))
+        result, have_exited = uvloop.run(
+            _run_load_through_planned_stop(deployment, 14)
+        )
     finally:
         deployment.stop()
     cut = len(result.samples) - result.whole
     print_figure(Figure('planned_stop.cut_requests', cut, 'requests', 0))
     print_figure(
-        Figure('planned_stop.ended_in_time', float(are_ended), 'ratio', 1)
+        Figure('planned_stop.ended_in_time', float(have_exited), 'ratio', 1)
     )
 
 
-async def _send_through_silence(relay: Relay) -> LoadResult:
+async def _run_load_with_dropped_traffic(relay: Relay) -> LoadResult:
     """Let every connection between two nodes go silent under load."""
     loop = asyncio.get_running_loop()
     await relay.start()
-    deployment = await loop.run_in_executor(None, _start_behind_relay, relay)
+    deployment = await loop.run_in_executor(
+        None, _start_pair_behind_relay, relay
+    )
     try:
         generator = LoadGenerator(
             [deployment.workers['entry'].call_address], random.Random(1)
         )
-        kind = LoadKind('call', '/echo/call', SILENT_RATE, 1000)
-        load = loop.create_task(generator.run([kind], BEFORE_S + AFTER_S))
-        await asyncio.sleep(BEFORE_S)
+        kind = LoadKind('call', '/echo/call', REQUESTS_PER_S, 1000)
+        load = loop.create_task(
+            generator.run([kind], BEFORE_DROP_S + AFTER_DROP_S)
+        )
+        await asyncio.sleep(BEFORE_DROP_S)
         relay.silence()
         return await load
     finally:
@@ -197,19 +207,19 @@
 def bench_silent_connections(_: int) -> None:
     """Time until calls flow again when connections swallow bytes."""
     for direction in ('forward', 'backward', 'both'):
-        result = uvloop.run(_send_through_silence(Relay(direction)))
-        slow = [
+        result = uvloop.run(_run_load_with_dropped_traffic(Relay(direction)))
+        latencies_s = [
             sample.latency_s
             for sample in result.samples
-            if sample.sent_at >= BEFORE_S
+            if sample.sent_at >= BEFORE_DROP_S
         ]
         prefix = f'silent_connections.{direction}'
-        lost = len(result.samples) - result.whole
-        print_figure(Figure(f'{prefix}_longest_s', max(slow), 's', 1))
-        print_figure(Figure(f'{prefix}_lost', lost, 'requests', 0))
+        failed = len(result.samples) - result.whole
+        print_figure(Figure(f'{prefix}_longest_s', max(latencies_s), 's', 1))
+        print_figure(Figure(f'{prefix}_lost', failed, 'requests', 0))
 
 
-def _start_behind_relay(relay: Relay) -> Deployment:
+def _start_pair_behind_relay(relay: Relay) -> Deployment:
     """Start two nodes; the peer address of one leads through the relay."""
     echo = {'service': 'echo', 'slots': 64, 'service_ms': 5}
     deployment = start_deployment([WorkerPlan('entry', 'dc-0', None)], 2)
--- a/merlintrail/bench/_overload.py
+++ b/merlintrail/bench/_overload.py
@@ -15,7 +15,7 @@
 from merlintrail.bench._worlds import (
     BEDENREHBER,
     RETTELSE,
-    World,
+    BenchDeployment,
 )
 from merlintrail.load import LoadGenerator, LoadKind, LoadResult
 
@@ -26,22 +26,22 @@
     'details', False, 'Whether to print each second of each kind.'
 )
 #: Seconds of calm load before the trigger.
-CALM_S: Final = 5.0
+PRE_TRIGGER_S: Final = 5.0
 TRIGGER_S: Final = 10.0
-AFTER_S: Final = 10.0
+POST_TRIGGER_S: Final = 10.0
 #: Load in calm, as a share of capacity.
-CALM_LOAD: Final = 0.7
-SURGE_LOAD: Final = 3.0
+STEADY_LOAD_FACTOR: Final = 0.7
+SURGE_LOAD_FACTOR: Final = 3.0
 #: Times that a client sends again during a surge.
-HARD_RETRIES: Final = 3
-SLOWDOWN: Final = 10.0
+SURGE_CLIENT_RETRIES: Final = 3
+SLOWDOWN_FACTOR: Final = 10.0
 #: Seconds of one step in which goodput is looked at.
-STEP_S: Final = 0.5
+GOODPUT_STEP_S: Final = 0.5
 #: Share of the calm goodput that counts as recovered.
-RECOVERED_SHARE: Final = 0.95
-_TARGET_GOODPUT: Final = 0.9
+RECOVERED_GOODPUT_SHARE: Final = 0.95
+_TARGET_GOODPUT_RATIO: Final = 0.9
 _TARGET_RECOVERY_S: Final = 2.0
-_TARGET_TOP: Final = 0.99
+_TARGET_TOP_IMPORTANCE_RATIO: Final = 0.99
 
 
 class Trigger(NamedTuple):
@@ -50,16 +50,18 @@
     name: str
     #: Capacity during the trigger as a share.
     capacity_share: float
-    slows: bool = False
-    surges: bool = False
-    crashes: bool = False
+    slows_backends: bool = False
+    adds_surge: bool = False
+    crashes_backends: bool = False
 
 
 TRIGGERS: Final = (
-    Trigger('slow_deep_service', 1 / SLOWDOWN, slows=True),
-    Trigger('surge', 1.0, surges=True),
-    Trigger('crash', 1 / 3, crashes=True),
-    Trigger('two_at_once', 1 / SLOWDOWN, slows=True, surges=True),
+    Trigger('slow_deep_service', 1 / SLOWDOWN_FACTOR, slows_backends=True),
+    Trigger('surge', 1.0, adds_surge=True),
+    Trigger('crash', 1 / 3, crashes_backends=True),
+    Trigger(
+        'two_at_once', 1 / SLOWDOWN_FACTOR, slows_backends=True, adds_surge=True
+    ),
 )
 
 
@@ -73,28 +75,34 @@
     retries_per_request: float
 
 
-async def _drive(
-    rig: Rig, world: World, trigger: Trigger, seed: int
+async def _run_load(
+    rig: Rig, bench_deployment: BenchDeployment, trigger: Trigger, seed: int
 ) -> LoadResult:
     """Send the calm load, the surge on top, and pull the trigger."""
     entries = [
         worker.call_address for worker in rig.deployment.workers.values()
     ]
-    calm_rate = world.compute_capacity() * CALM_LOAD
-    calm = LoadGenerator(entries, random.Random(seed))
-    loads = [
-        calm.run(world.build_load(calm_rate), CALM_S + TRIGGER_S + AFTER_S),
-        _pull_trigger(rig, trigger),
+    steady_rate = bench_deployment.compute_capacity() * STEADY_LOAD_FACTOR
+    steady = LoadGenerator(entries, random.Random(seed))
+    coroutines = [
+        steady.run(
+            bench_deployment.build_load(steady_rate),
+            PRE_TRIGGER_S + TRIGGER_S + POST_TRIGGER_S,
+        ),
+        _apply_trigger(rig, trigger),
     ]
     surge: list[LoadKind] = []
-    if trigger.surges:
-        rate = world.compute_capacity() * SURGE_LOAD - calm_rate
-        surge = world.build_load(rate, HARD_RETRIES)
-    loads.append(_send_surge(entries, surge, seed))
-    finished = await asyncio.gather(*loads)
+    if trigger.adds_surge:
+        rate = (
+            bench_deployment.compute_capacity() * SURGE_LOAD_FACTOR
+            - steady_rate
+        )
+        surge = bench_deployment.build_load(rate, SURGE_CLIENT_RETRIES)
+    coroutines.append(_send_surge(entries, surge, seed))
+    load_results = await asyncio.gather(*coroutines)
     samples = [
         sample
-        for result in finished
+        for result in load_results
         if isinstance(result, LoadResult)
         for sample in result.samples
     ]
@@ -104,109 +112,130 @@
 async def _send_surge(
     entries: Sequence[str], kinds: Sequence[LoadKind], seed: int
 ) -> LoadResult:
-    await asyncio.sleep(CALM_S)
+    await asyncio.sleep(PRE_TRIGGER_S)
     generator = LoadGenerator(entries, random.Random(seed + 1))
     result = await generator.run(kinds, TRIGGER_S)
     return LoadResult(
         [
-            sample._replace(sent_at=sample.sent_at + CALM_S)
+            sample._replace(sent_at=sample.sent_at + PRE_TRIGGER_S)
             for sample in result.samples
         ]
     )
 
 
-async def _pull_trigger(rig: Rig, trigger: Trigger) -> None:
-    await asyncio.sleep(CALM_S)
+async def _apply_trigger(rig: Rig, trigger: Trigger) -> None:
+    await asyncio.sleep(PRE_TRIGGER_S)
     loop = asyncio.get_running_loop()
-    deepest = rig.list_deepest()
-    if trigger.slows:
-        await loop.run_in_executor(None, _slow, rig, deepest, SLOWDOWN)
-    if trigger.crashes:
+    deepest = rig.list_deepest_instances()
+    if trigger.slows_backends:
+        await loop.run_in_executor(
+            None, _set_slowdown, rig, deepest, SLOWDOWN_FACTOR
+        )
+    if trigger.crashes_backends:
         for instance in deepest[1:]:
             rig.deployment.send_signal(f'backend {instance}', signal.SIGKILL)
     await asyncio.sleep(TRIGGER_S)
-    if trigger.slows:
-        await loop.run_in_executor(None, _slow, rig, deepest, 1.0)
-    if trigger.crashes:
+    if trigger.slows_backends:
+        await loop.run_in_executor(None, _set_slowdown, rig, deepest, 1.0)
+    if trigger.crashes_backends:
         for instance in deepest[1:]:
             rig.deployment.start_backend(instance)
 
 
-def _slow(rig: Rig, instances: Sequence[str], factor: float) -> None:
+def _set_slowdown(rig: Rig, instances: Sequence[str], factor: float) -> None:
     for instance in instances:
         rig.deployment.control_backend(instance, {'slowdown': factor})
 
 
-def _print_details(world: World, result: LoadResult) -> None:
+def _print_details(
+    bench_deployment: BenchDeployment, result: LoadResult
+) -> None:
     """Print what became of each kind in each second, for a person."""
-    for kind in world.kinds:
-        chosen = result.select(kind.name)
-        for second in range(int(CALM_S) - 1, int(CALM_S + TRIGGER_S) + 3):
-            part = chosen.between(second, second + 1)
+    for kind in bench_deployment.kinds:
+        kind_result = result.select(kind.name)
+        for second in range(
+            int(PRE_TRIGGER_S) - 1, int(PRE_TRIGGER_S + TRIGGER_S) + 3
+        ):
+            second_result = kind_result.between(second, second + 1)
             sys.stderr.write(
-                f'{kind.name} {second} sent {len(part.samples)} '
-                f'whole {part.whole} {dict(part.count_reasons())}\n'
+                f'{kind.name} {second} sent {len(second_result.samples)} '
+                f'whole {second_result.whole} {dict(second_result.count_reasons())}\n'
             )
 
 
 def _find_recovery(result: LoadResult) -> float:
     """Return the seconds after the trigger until goodput is back."""
-    calm = result.between(1.0, CALM_S).whole / (CALM_S - 1.0)
-    end = CALM_S + TRIGGER_S
-    steps = int(AFTER_S / STEP_S)
+    reference = result.between(1.0, PRE_TRIGGER_S).whole / (PRE_TRIGGER_S - 1.0)
+    end = PRE_TRIGGER_S + TRIGGER_S
+    steps = int(POST_TRIGGER_S / GOODPUT_STEP_S)
     goodputs = [
-        result.between(end + step * STEP_S, end + (step + 1) * STEP_S).whole
-        / STEP_S
+        result.between(
+            end + step * GOODPUT_STEP_S, end + (step + 1) * GOODPUT_STEP_S
+        ).whole
+        / GOODPUT_STEP_S
         for step in range(steps)
     ]
     for step in range(steps - 1):
-        pair = (goodputs[step] + goodputs[step + 1]) / 2
-        if pair >= calm * RECOVERED_SHARE:
-            return step * STEP_S
-    return AFTER_S
+        mean_goodput = (goodputs[step] + goodputs[step + 1]) / 2
+        if mean_goodput >= reference * RECOVERED_GOODPUT_SHARE:
+            return step * GOODPUT_STEP_S
+    return POST_TRIGGER_S
 
 
-def _measure(rig: Rig, world: World, trigger: Trigger, seed: int) -> Measures:
-    begun_before = rig.count_begun()
+def _measure(
+    rig: Rig, bench_deployment: BenchDeployment, trigger: Trigger, seed: int
+) -> Measures:
+    begun_before = rig.count_begun_requests()
     retries_before = rig.count_retries()
-    result = uvloop.run(_drive(rig, world, trigger, seed))
+    result = uvloop.run(_run_load(rig, bench_deployment, trigger, seed))
     if _DETAILS.value:
-        _print_details(world, result)
-    capacity = world.compute_capacity() * trigger.capacity_share
-    begun = rig.count_begun() - begun_before
+        _print_details(bench_deployment, result)
+    capacity = bench_deployment.compute_capacity() * trigger.capacity_share
+    begun = rig.count_begun_requests() - begun_before
     retries = rig.count_retries() - retries_before
     return Measures(
         _compute_goodput_ratio(result, capacity),
         _find_recovery(result),
-        _compute_top_ratio(world, result, capacity),
-        max(0.0, 1 - _count_useful(world, result) / max(1, begun)),
+        _compute_top_importance_ratio(bench_deployment, result, capacity),
+        max(
+            0.0,
+            1 - _count_useful_calls(bench_deployment, result) / max(1, begun),
+        ),
         retries / max(1, len(result.samples)),
     )
 
 
 def _compute_goodput_ratio(result: LoadResult, capacity: float) -> float:
     """Compare whole answers during the trigger with what was possible."""
-    start_s = CALM_S + 1.0
-    end_s = CALM_S + TRIGGER_S - 0.5
+    start_s = PRE_TRIGGER_S + 1.0
+    end_s = PRE_TRIGGER_S + TRIGGER_S - 0.5
     during = result.between(start_s, end_s)
-    possible = min(capacity * (end_s - start_s), len(during.samples))
-    return during.whole / possible
+    attainable = min(capacity * (end_s - start_s), len(during.samples))
+    return during.whole / attainable
 
 
-def _compute_top_ratio(
-    world: World, result: LoadResult, capacity: float
+def _compute_top_importance_ratio(
+    bench_deployment: BenchDeployment, result: LoadResult, capacity: float
 ) -> float:
     """Compare whole answers of the most important kind with what it sent."""
     top = next(
-        kind.name for kind in world.kinds if kind.importance == 'critical'
+        kind.name
+        for kind in bench_deployment.kinds
+        if kind.importance == 'critical'
+    )
+    during = result.between(PRE_TRIGGER_S, PRE_TRIGGER_S + TRIGGER_S).select(
+        top
     )
-    during = result.between(CALM_S, CALM_S + TRIGGER_S).select(top)
     return during.whole / min(len(during.samples), capacity * TRIGGER_S)
 
 
-def _count_useful(world: World, result: LoadResult) -> int:
+def _count_useful_calls(
+    bench_deployment: BenchDeployment, result: LoadResult
+) -> int:
     """Count the calls that belong to whole answers."""
-    children = {service.name: service.children for service in world.services}
+    children = {
+        service.name: service.children for service in bench_deployment.services
+    }
 
     def count_calls(service: str) -> int:
         return 1 + sum(
@@ -215,38 +244,46 @@
 
     return sum(
         result.select(kind.name).whole * count_calls(kind.service)
-        for kind in world.kinds
+        for kind in bench_deployment.kinds
     )
 
 
 def _run_once(
-    world: World, trigger: Trigger, seed: int, *, is_baseline: bool
+    bench_deployment: BenchDeployment,
+    trigger: Trigger,
+    seed: int,
+    *,
+    is_baseline: bool,
 ) -> Measures:
-    rig = Rig(world, is_baseline=is_baseline)
+    rig = Rig(bench_deployment, is_baseline=is_baseline)
     try:
         rig.start()
-        return _measure(rig, world, trigger, seed)
+        return _measure(rig, bench_deployment, trigger, seed)
     finally:
         rig.deployment.stop()
 
 
 def run_overload(
-    world: World, trigger: Trigger, seed: int, *, with_baseline: bool = True
+    bench_deployment: BenchDeployment,
+    trigger: Trigger,
+    seed: int,
+    *,
+    with_baseline: bool = True,
 ) -> None:
     """Measure one trigger and print its figures."""
-    ours = _run_once(world, trigger, seed, is_baseline=False)
+    measures = _run_once(bench_deployment, trigger, seed, is_baseline=False)
     baseline = None
     if with_baseline:
-        baseline = _run_once(world, trigger, seed, is_baseline=True)
-    prefix = f'{trigger.name}.{world.name}'
-    if world is BEDENREHBER:
+        baseline = _run_once(bench_deployment, trigger, seed, is_baseline=True)
+    prefix = f'{trigger.name}.{bench_deployment.name}'
+    if bench_deployment is BEDENREHBER:
         prefix = trigger.name
     targets = {
-        'goodput_ratio': _TARGET_GOODPUT,
+        'goodput_ratio': _TARGET_GOODPUT_RATIO,
         'recovery_s': _TARGET_RECOVERY_S,
-        'top_importance_ratio': _TARGET_TOP,
+        'top_importance_ratio': _TARGET_TOP_IMPORTANCE_RATIO,
     }
-    for name, value in ours._asdict().items():
+    for name, value in measures._asdict().items():
         print_figure(
             Figure(
                 f'{prefix}.{name}',
@@ -262,12 +299,16 @@
     """Return the overload benches by name."""
     benches: dict[str, Callable[[int], None]] = {}
     for trigger in TRIGGERS:
-        benches[trigger.name] = _bind(BEDENREHBER, trigger)
-        benches[f'{trigger.name}_{RETTELSE.name}'] = _bind(RETTELSE, trigger)
+        benches[trigger.name] = _create_bench(BEDENREHBER, trigger)
+        benches[f'{trigger.name}_{RETTELSE.name}'] = _create_bench(
+            RETTELSE, trigger
+        )
     return benches
 
 
-def _bind(world: World, trigger: Trigger) -> Callable[[int], None]:
+def _create_bench(
+    bench_deployment: BenchDeployment, trigger: Trigger
+) -> Callable[[int], None]:
     return lambda seed: run_overload(
-        world, trigger, seed, with_baseline=_WITH_BASELINE.value
+        bench_deployment, trigger, seed, with_baseline=_WITH_BASELINE.value
     )
--- a/merlintrail/bench/_plain_forwarder.py
+++ b/merlintrail/bench/_plain_forwarder.py
@@ -26,7 +26,7 @@
     'target', '', 'host:port to forward to; empty echoes.'
 )
 _CHUNK_BYTES: Final = 65536
-_THREADS: Final = 16
+_THREAD_COUNT: Final = 16
 
 
 class PlainForwarder(abc.ABC):
@@ -78,11 +78,11 @@
         uvloop.run(self._serve())
 
     async def _serve(self) -> None:
-        self._idle: list[Any] = []
-        await asyncio.start_server(self._answer, self.host, self.port)
+        self._idle_connections: list[Any] = []
+        await asyncio.start_server(self._serve_connection, self.host, self.port)
         await asyncio.Event().wait()
 
-    async def _answer(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         connection = h11.Connection(h11.SERVER)
@@ -101,8 +101,8 @@
         writer.close()
 
     async def _forward(self, body: bytes) -> bytes:
-        if self._idle:
-            connection, reader, writer = self._idle.pop()
+        if self._idle_connections:
+            connection, reader, writer = self._idle_connections.pop()
         else:
             connection = h11.Connection(h11.CLIENT)
             reader, writer = await asyncio.open_connection(
@@ -116,7 +116,7 @@
         writer.write(_encode(connection, request, body))
         answer = await _receive(connection, reader)
         connection.start_next_cycle()
-        self._idle.append((connection, reader, writer))
+        self._idle_connections.append((connection, reader, writer))
         return answer or b''
 
 
@@ -151,14 +151,16 @@
 
     def run(self) -> None:
         """Serve for ever."""
-        self._http = urllib3.PoolManager(maxsize=_THREADS, retries=False)
+        self._http = urllib3.PoolManager(maxsize=_THREAD_COUNT, retries=False)
         server: Any = wsgi.Server(
-            (self.host, self.port), self._answer, numthreads=_THREADS
+            (self.host, self.port),
+            self._handle_request,
+            numthreads=_THREAD_COUNT,
         )
         threading.Thread(target=server.safe_start, daemon=True).start()
         threading.Event().wait()
 
-    def _answer(
+    def _handle_request(
         self, environ: Mapping[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         length = int(environ.get('CONTENT_LENGTH') or 0)
--- a/merlintrail/bench/_rig.py
+++ b/merlintrail/bench/_rig.py
@@ -7,22 +7,24 @@
 import urllib3
 
 from merlintrail.bench._forwarder import ForwarderPlan
-from merlintrail.bench._worlds import World
+from merlintrail.bench._worlds import BenchDeployment
 from merlintrail.lab.processes import Deployment
 
 
 class Rig:
     """A running deployment, with nodes or with plain forwarders."""
 
-    def __init__(self, world: World, *, is_baseline: bool) -> None:
-        self._world = world
+    def __init__(
+        self, bench_deployment: BenchDeployment, *, is_baseline: bool
+    ) -> None:
+        self._bench_deployment = bench_deployment
         self._is_baseline = is_baseline
         self._http = urllib3.PoolManager(retries=False, timeout=5.0)
         self.deployment = Deployment(log_level='warning')
 
     def start(self) -> None:
         """Start all processes."""
-        plans = self._world.build_plans()
+        plans = self._bench_deployment.build_plans()
         if self._is_baseline:
             self.deployment.place_workers(plans)
             self._start_forwarders()
@@ -33,16 +35,16 @@
         self.deployment.start_workers(plans)
         self.deployment.wait_until_listening()
         generation = self.deployment.apply_configuration(
-            self._world.build_document()
+            self._bench_deployment.build_document()
         )
         self.deployment.wait_until_ready(generation)
 
-    def list_deepest(self) -> list[str]:
+    def list_deepest_instances(self) -> list[str]:
         """Return the workers of the deepest service."""
         return [
             instance
             for instance in self.deployment.workers
-            if instance.startswith(self._world.deepest)
+            if instance.startswith(self._bench_deployment.deepest)
         ]
 
     def count_retries(self) -> int:
@@ -66,7 +68,7 @@
             for instance in self.deployment.workers
         )
 
-    def count_begun(self) -> int:
+    def count_begun_requests(self) -> int:
         """Return the requests begun by backend servers that live."""
         begun = 0
         for instance in self.deployment.workers:
--- a/merlintrail/bench/_worlds.py
+++ b/merlintrail/bench/_worlds.py
@@ -7,7 +7,7 @@
 from merlintrail.load import LoadKind
 
 #: Workers of each service.
-WORKERS: Final = 3
+WORKERS_PER_SERVICE: Final = 3
 _MS_PER_S: Final = 1000
 
 
@@ -20,7 +20,7 @@
     children: tuple[str, ...] = ()
 
 
-class BenchKind(NamedTuple):
+class BenchRequestKind(NamedTuple):
     """A request kind of a bench deployment."""
 
     service: str
@@ -31,12 +31,12 @@
     is_idempotent: bool = True
 
 
-class World(NamedTuple):
+class BenchDeployment(NamedTuple):
     """A deployment and its request kinds."""
 
     name: str
     services: Sequence[BenchService]
-    kinds: Sequence[BenchKind]
+    kinds: Sequence[BenchRequestKind]
     #: The service at the end of every chain.
     deepest: str
     deadline_ms: float
@@ -46,7 +46,9 @@
         deepest = next(
             service for service in self.services if service.name == self.deepest
         )
-        return WORKERS * deepest.slots * _MS_PER_S / deepest.service_ms
+        return (
+            WORKERS_PER_SERVICE * deepest.slots * _MS_PER_S / deepest.service_ms
+        )
 
     def build_document(self) -> Mapping[str, Any]:
         """Build the configuration."""
@@ -64,7 +66,7 @@
                 {
                     'name': 'one',
                     'data_centres': [
-                        f'one-{number}' for number in range(WORKERS)
+                        f'one-{number}' for number in range(WORKERS_PER_SERVICE)
                     ],
                 }
             ],
@@ -84,7 +86,7 @@
                 },
             )
             for service in self.services
-            for number in range(WORKERS)
+            for number in range(WORKERS_PER_SERVICE)
         ]
 
     def build_load(
@@ -128,7 +130,7 @@
         return kinds
 
 
-BEDENREHBER: Final = World(
+BEDENREHBER: Final = BenchDeployment(
     'bedenrehber',
     (
         BenchService('fitadvisor', 25, 20, ('/chartdesk/below',)),
@@ -137,16 +139,16 @@
         BenchService('partnerhub', 10, 50),
     ),
     (
-        BenchKind('fitadvisor', 'advice', 'critical', 0.1),
-        BenchKind('returnsdesk', 'returns', 'high', 0.2),
-        BenchKind('partnerhub', 'directory', 'normal', 0.2),
-        BenchKind('chartdesk', 'sync', 'low', 0.5),
+        BenchRequestKind('fitadvisor', 'advice', 'critical', 0.1),
+        BenchRequestKind('returnsdesk', 'returns', 'high', 0.2),
+        BenchRequestKind('partnerhub', 'directory', 'normal', 0.2),
+        BenchRequestKind('chartdesk', 'sync', 'low', 0.5),
     ),
     'partnerhub',
     2000,
 )
 
-RETTELSE: Final = World(
+RETTELSE: Final = BenchDeployment(
     'rettelse',
     (
         BenchService('tidslinje', 16, 20, ('/rettelser/below',)),
@@ -155,10 +157,10 @@
         BenchService('vault', 10, 60),
     ),
     (
-        BenchKind('rettelser', 'corrections', 'critical', 0.1),
-        BenchKind('tidslinje', 'lookup', 'high', 0.25),
-        BenchKind('noter', 'clarifications', 'normal', 0.2),
-        BenchKind('vault', 'index', 'low', 0.45),
+        BenchRequestKind('rettelser', 'corrections', 'critical', 0.1),
+        BenchRequestKind('tidslinje', 'lookup', 'high', 0.25),
+        BenchRequestKind('noter', 'clarifications', 'normal', 0.2),
+        BenchRequestKind('vault', 'index', 'low', 0.45),
     ),
     'vault',
     2000,
--- a/merlintrail/bench/soak.py
+++ b/merlintrail/bench/soak.py
@@ -13,7 +13,7 @@
 from merlintrail.bench._figures import Figure, print_figure
 from merlintrail.bench._latency import (
     build_document,
-    build_fleet,
+    build_fleet_plans,
     read_memory_bytes,
     start_deployment,
 )
@@ -23,27 +23,27 @@
 _SEED: Final = flags.DEFINE_integer('seed', 1, 'Seed of the faults.')
 _DURATION: Final = flags.DEFINE_float('duration', 600.0, 'Seconds of faults.')
 
-DATA_CENTRES: Final = 6
+DATA_CENTRE_COUNT: Final = 6
 #: Seconds between faults.
-FAULT_INTERVAL_S: Final = 2.0
+MEAN_FAULT_INTERVAL_S: Final = 2.0
 #: Seconds of the longest pause of a node.
 MAX_PAUSE_S: Final = 8.0
 #: Seconds of the longest store outage.
 MAX_OUTAGE_S: Final = 10.0
 #: Seconds within which all nodes must agree after the last fault.
-SETTLING_S: Final = 60.0
+AGREEMENT_TIMEOUT_S: Final = 60.0
 _BYTES_PER_MB: Final = 1e6
 
 
-class Soak:
+class FleetFaultInjector:
     """One run: faults by a seeded random source, then agreement."""
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self._deployment = deployment
         self._rng = random.Random(seed)
-        self._paused: dict[str, float] = {}
-        self._outage_until = 0.0
-        self._changes = 0
+        self._pause_ends_at: dict[str, float] = {}
+        self._outage_ends_at = 0.0
+        self._change_count = 0
         #: Faults brought about, by kind.
         self.faults: dict[str, int] = {}
 
@@ -60,38 +60,38 @@
             self._stop_store,
         )
         while time.monotonic() < end:
-            self._end_due(time.monotonic())
+            self._end_expired_faults(time.monotonic())
             action = self._rng.choice(actions)
             name = action.__name__.strip('_')
             self.faults[name] = self.faults.get(name, 0) + 1
             action()
-            time.sleep(FAULT_INTERVAL_S * self._rng.uniform(0.5, 1.5))
-        self._end_due(float('inf'))
+            time.sleep(MEAN_FAULT_INTERVAL_S * self._rng.uniform(0.5, 1.5))
+        self._end_expired_faults(float('inf'))
 
-    def _choose(self) -> str:
+    def _choose_instance(self) -> str:
         names = [
             name
             for name in self._deployment.workers
-            if name not in self._paused
+            if name not in self._pause_ends_at
         ]
         return self._rng.choice(names[1:])
 
     def _kill(self) -> None:
-        name = self._choose()
+        name = self._choose_instance()
         self._deployment.send_signal(f'node {name}', signal.SIGKILL)
         self._deployment.wait_for_end(f'node {name}')
         self._deployment.start_node(name)
 
     def _pause(self) -> None:
-        name = self._choose()
+        name = self._choose_instance()
         self._deployment.send_signal(f'node {name}', signal.SIGSTOP)
         pause_s = self._rng.uniform(0.5, MAX_PAUSE_S)
-        self._paused[name] = time.monotonic() + pause_s
+        self._pause_ends_at[name] = time.monotonic() + pause_s
 
     def _change(self) -> None:
-        self._changes += 1
-        document = build_document(DATA_CENTRES)
-        document['quarantine'] = {'expiry_s': 600 + self._changes}
+        self._change_count += 1
+        document = build_document(DATA_CENTRE_COUNT)
+        document['quarantine'] = {'expiry_s': 600 + self._change_count}
         try:
             self._deployment.apply_configuration(document)
         except (KeyError, urllib3.exceptions.HTTPError):
@@ -102,23 +102,23 @@
     def _stop_store(self) -> None:
         self._deployment.set_store_faults({'is_down': True})
         outage_s = self._rng.uniform(1, MAX_OUTAGE_S)
-        self._outage_until = time.monotonic() + outage_s
+        self._outage_ends_at = time.monotonic() + outage_s
 
-    def _end_due(self, now: float) -> None:
-        for name, until in tuple(self._paused.items()):
-            if until <= now:
+    def _end_expired_faults(self, now: float) -> None:
+        for name, ends_at in tuple(self._pause_ends_at.items()):
+            if ends_at <= now:
                 self._deployment.send_signal(f'node {name}', signal.SIGCONT)
-                del self._paused[name]
-        if self._outage_until and self._outage_until <= now:
+                del self._pause_ends_at[name]
+        if self._outage_ends_at and self._outage_ends_at <= now:
             self._deployment.set_store_faults({})
-            self._outage_until = 0.0
+            self._outage_ends_at = 0.0
 
 
 def wait_for_agreement(deployment: Deployment) -> float | None:
     """Return the seconds until every node knows the same."""
     started_at = time.monotonic()
     expected = len(deployment.workers)
-    while time.monotonic() - started_at < SETTLING_S:
+    while time.monotonic() - started_at < AGREEMENT_TIMEOUT_S:
         fleet = deployment.ask_admin('GET', '/v1/fleet')
         views = {
             (
@@ -145,22 +145,24 @@
 
 def _run(_: Sequence[str]) -> int:
     deployment = start_deployment(
-        build_fleet(_NODES.value, DATA_CENTRES), DATA_CENTRES
+        build_fleet_plans(_NODES.value, DATA_CENTRE_COUNT), DATA_CENTRE_COUNT
     )
     try:
         memory_before = _measure_memory(deployment)
-        soak = Soak(deployment, _SEED.value)
-        soak.run(_DURATION.value)
-        agreed_s = wait_for_agreement(deployment)
+        injector = FleetFaultInjector(deployment, _SEED.value)
+        injector.run(_DURATION.value)
+        agreement_s = wait_for_agreement(deployment)
         memory_after = _measure_memory(deployment)
     finally:
         deployment.stop()
-    sys.stderr.write(f'faults: {soak.faults}\n')
-    print_figure(Figure('soak.agreement_s', agreed_s, 's', SETTLING_S))
+    sys.stderr.write(f'faults: {injector.faults}\n')
+    print_figure(
+        Figure('soak.agreement_s', agreement_s, 's', AGREEMENT_TIMEOUT_S)
+    )
     print_figure(
         Figure('soak.memory_mb', memory_after, 'MB', 64, memory_before)
     )
-    return 1 if agreed_s is None else 0
+    return 1 if agreement_s is None else 0
 
 
 if __name__ == '__main__':
