--- a/merlintrail/bench/_overload.py
+++ b/merlintrail/bench/_overload.py
@@ -10,13 +10,13 @@
 import uvloop
 from absl import flags
 
-from merlintrail.bench._figures import Figure, print_figure
-from merlintrail.bench._rig import Rig
-from merlintrail.bench._worlds import (
+from merlintrail.bench._deployments import (
     BEDENREHBER,
     RETTELSE,
     BenchDeployment,
 )
+from merlintrail.bench._figures import Figure, print_figure
+from merlintrail.bench._rig import Rig
 from merlintrail.load import LoadGenerator, LoadKind, LoadResult
 
 _WITH_BASELINE: Final = flags.DEFINE_bool(
--- a/merlintrail/bench/_rig.py
+++ b/merlintrail/bench/_rig.py
@@ -6,8 +6,8 @@
 import orjson
 import urllib3
 
+from merlintrail.bench._deployments import BenchDeployment
 from merlintrail.bench._forwarder import ForwarderPlan
-from merlintrail.bench._worlds import BenchDeployment
 from merlintrail.lab.processes import Deployment
 
 
