--- a/merlintrail/bench/__init__.py
+++ b/merlintrail/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches: each prints its figures as JSON lines."""
+"""Benchmarks, which print figures as JSON lines, and soak tests."""
--- a/merlintrail/bench/__main__.py
+++ b/merlintrail/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run benches: ``python -m merlintrail.bench --name=NAME``."""
+"""Runs benchmarks: ``python -m merlintrail.bench --name=NAME``."""
 
 import sys
 from collections.abc import Sequence
@@ -16,8 +16,10 @@
 )
 from merlintrail.bench._figures import Benches
 
-_NAME: Final = flags.DEFINE_string('name', 'all', 'Bench to run.')
-_SEED: Final = flags.DEFINE_integer('seed', 1, 'Seed of the load.')
+_NAME: Final = flags.DEFINE_string('name', 'all', 'Benchmark to run, or all.')
+_SEED: Final = flags.DEFINE_integer(
+    'seed', 1, 'Seed of the load; only overload benchmarks use it.'
+)
 
 _BENCHES: Final[Benches] = {
     **_latency.list_benches(),
@@ -34,7 +36,7 @@
     for name in names:
         if name not in _BENCHES:
             available = ', '.join(sorted(_BENCHES))
-            sys.stderr.write(f'no bench {name!r}; there are: {available}\n')
+            sys.stderr.write(f'no benchmark {name!r}; available: {available}\n')
             return 2
         _BENCHES[name](_SEED.value)
     return 0
--- a/merlintrail/bench/_capacity.py
+++ b/merlintrail/bench/_capacity.py
@@ -1,4 +1,8 @@
-"""Benches behind docs/CAPACITY.md: slopes, and tables at full size."""
+"""Benchmarks for docs/CAPACITY.md.
+
+They measure how the cost of a node grows with the number of nodes, its tables
+at full size and the loss of a data centre.
+"""
 
 import random
 import signal
@@ -28,14 +32,14 @@
     ServiceOffer,
 )
 
-#: Sizes at which slopes are measured.
+#: Numbers of nodes at which the growth of the idle cost is measured.
 FLEET_SIZES: Final = (24, 60, 120)
-#: Size of the fleet within two years.
+#: Number of nodes expected within two years.
 FULL_FLEET_SIZE: Final = 1800
 DATA_CENTRE_COUNT: Final = 14
 SERVICE_COUNT: Final = 49
 REGION_COUNT: Final = 6
-#: Seconds after the loss of a data centre that are looked at.
+#: Minimum seconds after the loss of a data centre in which traffic is measured.
 LOSS_WINDOW_S: Final = 6.0
 _CHOICE_COUNT: Final = 2000
 _MS_PER_S: Final = 1000
@@ -44,13 +48,13 @@
 
 
 def bench_slopes(_: int) -> None:
-    """The idle cost of a node at three sizes of the fleet."""
+    """Measure the idle cost of a node at each number of nodes."""
     for size in FLEET_SIZES:
         print_idle_cost(f'slopes.nodes_{size}', measure_idle_cost(size))
 
 
 def build_members(count: int) -> list[Member]:
-    """Build members as they are at full size."""
+    """Build members like those of a deployment at full size."""
     return [
         Member(
             f'instance-{number:04d}',
@@ -72,7 +76,7 @@
 
 
 def bench_tables(_: int) -> None:
-    """Memory and processor time of a node's tables at full size."""
+    """Measure memory and processor time of a node's tables at full size."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     members = build_members(FULL_FLEET_SIZE)
@@ -106,7 +110,7 @@
 
 
 def _measure_cpu_s(work: Callable[[], object]) -> float:
-    """Return the processor time of work in seconds."""
+    """Return the processor time that a function takes, in seconds."""
     started_at = time.process_time()
     work()
     return time.process_time() - started_at
@@ -134,15 +138,15 @@
 
 
 class DataCentreLoss(NamedTuple):
-    """What the loss of a data centre showed."""
+    """Time to detect the loss of a data centre, and the traffic meanwhile."""
 
     detection_s: float
-    #: Control bytes a second of each node that is left.
+    #: Control traffic of each remaining node.
     control_bytes_per_s: list[float]
 
 
 def bench_data_centre_loss(_: int) -> None:
-    """Traffic and time when a data centre goes at once, at 120 nodes."""
+    """Kill all nodes of a data centre at once, in a deployment of 120 nodes."""
     deployment = start_deployment(build_fleet_plans(FLEET_SIZES[-1], 6), 6)
     try:
         time.sleep(10)
@@ -191,7 +195,10 @@
 
 
 def _wait_until_detected(deployment: Deployment, killed: set[str]) -> float:
-    """Return the seconds until sampled nodes route to none of the lost."""
+    """Return the seconds until no sampled node reports a killed one as alive.
+
+    It gives up after 20 s.
+    """
     started_at = time.monotonic()
     sampled = [name for name in deployment.workers if name not in killed][::9]
     while time.monotonic() - started_at < 20:
@@ -214,7 +221,7 @@
 
 
 def list_benches() -> Benches:
-    """Return the benches of capacity by name."""
+    """Return the capacity benchmarks by name."""
     return {
         'slopes': bench_slopes,
         'tables': bench_tables,
--- a/merlintrail/bench/_deployments.py
+++ b/merlintrail/bench/_deployments.py
@@ -1,4 +1,4 @@
-"""Deployments of the benches: both of the brief, on a smaller scale."""
+"""Deployments of the overload benchmarks: two sites, scaled down."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, Final, NamedTuple
@@ -6,17 +6,20 @@
 from merlintrail.lab.processes import WorkerPlan
 from merlintrail.load import LoadKind
 
-#: Workers of each service.
+#: Number of workers of each service, which are in different data centres.
 WORKERS_PER_SERVICE: Final = 3
 _MS_PER_S: Final = 1000
 
 
 class BenchService(NamedTuple):
-    """A service of a bench deployment."""
+    """A service of a bench deployment and its nested calls."""
 
     name: str
+    #: Number of requests that a backend server runs at a time.
     slots: int
+    #: Mean service time, without nested calls.
     service_ms: float
+    #: Targets of the nested calls, ``/SERVICE/PATH``.
     children: tuple[str, ...] = ()
 
 
@@ -26,23 +29,24 @@
     service: str
     name: str
     importance: str
-    #: Share of the offered requests.
+    #: Share of the total load.
     share: float
     is_idempotent: bool = True
 
 
 class BenchDeployment(NamedTuple):
-    """A deployment and its request kinds."""
+    """Services and request kinds of a deployment."""
 
     name: str
     services: Sequence[BenchService]
     kinds: Sequence[BenchRequestKind]
-    #: The service at the end of every chain.
+    #: The service at the end of every call chain.
     deepest: str
+    #: Deadline of every request kind.
     deadline_ms: float
 
     def compute_capacity(self) -> float:
-        """Return the requests a second that the deepest service can do."""
+        """Return the capacity of the deepest service in requests per second."""
         deepest = next(
             service for service in self.services if service.name == self.deepest
         )
@@ -51,7 +55,7 @@
         )
 
     def build_document(self) -> Mapping[str, Any]:
-        """Build the configuration."""
+        """Build the configuration document."""
         return {
             'format': 1,
             'services': [
@@ -73,7 +77,7 @@
         }
 
     def build_plans(self) -> list[WorkerPlan]:
-        """Build the workers."""
+        """Build the plans of all workers."""
         return [
             WorkerPlan(
                 f'{service.name}-{number}',
@@ -92,7 +96,11 @@
     def build_load(
         self, rate: float, client_retries: int = 0
     ) -> list[LoadKind]:
-        """Build the load of all kinds at a total rate."""
+        """Build the load of all request kinds.
+
+        :param rate: requests per second of all kinds together.
+        :param client_retries: times that a client retries a failed request.
+        """
         return [
             LoadKind(
                 kind.name,
--- a/merlintrail/bench/_figures.py
+++ b/merlintrail/bench/_figures.py
@@ -1,29 +1,31 @@
-"""Figures as JSON lines."""
+"""Measured figures and their output as JSON lines."""
 
 import json
 import sys
 from collections.abc import Callable
 from typing import NamedTuple, TypeAlias
 
-#: Benches by name; each takes a seed.
+#: Benchmarks by name; each takes the seed of its load.
 Benches: TypeAlias = dict[str, Callable[[int], None]]
 
 
 class Figure(NamedTuple):
-    """One measured figure."""
+    """A measured figure, printed under the names of its fields."""
 
-    #: ``BENCH.NAME``.
+    #: Name of the figure, ``BENCH.NAME``.
     figure: str
+    #: ``None`` if the measurement did not end in time.
     value: float | None
     unit: str
-    #: The stated target, where there is one.
+    #: Target of the project, if there is one.
     target: float | None = None
-    #: The same figure of what the product is compared with.
+    #: Value that the figure is compared with, if there is one, as that of
+    #: direct calls.
     baseline: float | None = None
 
 
 def print_figure(figure: Figure) -> None:
-    """Print a figure as one line."""
+    """Print a figure as one line of JSON, rounded to four decimals."""
     rounded = figure._replace(
         value=_round(figure.value), baseline=_round(figure.baseline)
     )
--- a/merlintrail/bench/_fleet.py
+++ b/merlintrail/bench/_fleet.py
@@ -1,4 +1,4 @@
-"""Benches of many nodes: membership, configuration, store load, ledger."""
+"""Benchmarks of many nodes: membership, configuration and store load."""
 
 import signal
 import time
@@ -13,19 +13,19 @@
 )
 from merlintrail.lab.processes import Deployment
 
-#: Nodes of the smaller and the larger fleet.
+#: Number of nodes in the smaller and the larger deployment.
 SMALL_FLEET_SIZE: Final = 24
 LARGE_FLEET_SIZE: Final = 200
 DATA_CENTRE_COUNT: Final = 6
-#: Size for which figures are worked out.
+#: Number of nodes at full size, to which figures are extrapolated.
 FULL_FLEET_SIZE: Final = 1800
-#: Data centres at that size.
+#: Number of data centres at full size.
 FULL_DATA_CENTRE_COUNT: Final = 14
-#: Seconds of a measurement in calm.
+#: Seconds over which store load is measured while the store is up.
 STEADY_MEASUREMENT_S: Final = 10.0
-#: Seconds between looks at the fleet.
+#: Seconds between two polls of the nodes.
 POLL_INTERVAL_S: Final = 0.05
-#: Changes applied one after the other.
+#: Number of configuration changes to apply.
 CHANGE_COUNT: Final = 10
 _WAIT_TIMEOUT_S: Final = 30.0
 
@@ -39,7 +39,7 @@
 
 
 def _wait_until(condition: Callable[[], bool]) -> float:
-    """Return the seconds until a condition holds."""
+    """Return the seconds until a condition holds, at most the timeout."""
     started_at = time.monotonic()
     while not condition():
         if time.monotonic() - started_at > _WAIT_TIMEOUT_S:
@@ -51,7 +51,7 @@
 def _sample_instances(
     deployment: Deployment, *, without: str = ''
 ) -> list[str]:
-    """Return some instances, spread over the data centres."""
+    """Return evenly spaced instances: all of up to 23, at most 18 of more."""
     names = [name for name in deployment.workers if name != without]
     return names[:: max(1, len(names) // 12)]
 
@@ -68,7 +68,7 @@
 
 
 def bench_membership(_: int) -> None:
-    """Time until a failed node is left, and until a new one is known."""
+    """Measure how fast the failure and the start of a node are detected."""
     deployment = _start_fleet(SMALL_FLEET_SIZE)
     try:
         victim = 'node-9'
@@ -115,7 +115,10 @@
 
 
 def _apply_changes(deployment: Deployment) -> list[float]:
-    """Apply changes one by one; return the seconds that each took."""
+    """Apply changes one by one.
+
+    :returns: seconds until each was in force on every node.
+    """
     durations_s = []
     for number in range(CHANGE_COUNT):
         document = build_document(DATA_CENTRE_COUNT)
@@ -132,7 +135,7 @@
 
 
 def bench_configuration(_: int) -> None:
-    """Time until a change is in force on every node, at two sizes."""
+    """Measure the time until changes are in force everywhere, at two sizes."""
     for size in (SMALL_FLEET_SIZE, LARGE_FLEET_SIZE):
         deployment = _start_fleet(size)
         try:
@@ -146,7 +149,11 @@
 
 
 def _apply_burst(deployment: Deployment) -> float:
-    """Apply ten changes as fast as they go; return the lag of the last."""
+    """Apply changes without a pause.
+
+    :returns: seconds from the answer to the last one until it was in force on
+        every node.
+    """
     generation = 0
     for number in range(CHANGE_COUNT):
         document = build_document(DATA_CENTRE_COUNT)
@@ -158,7 +165,7 @@
 def _measure_store_rates(
     deployment: Deployment, duration_s: float
 ) -> Mapping[str, float]:
-    """Return the store's calls a second by kind."""
+    """Return the rate of calls to the store by kind, in calls per second."""
     before = deployment.read_store_counts()
     time.sleep(duration_s)
     after = deployment.read_store_counts()
@@ -169,7 +176,10 @@
 
 
 def bench_store_load(_: int) -> None:
-    """Calls to the store in calm and while it comes back, at three sizes."""
+    """Measure the load of the store at three sizes.
+
+    It is measured while the store is up and in the 5 s after an outage.
+    """
     for size in (SMALL_FLEET_SIZE, 60, LARGE_FLEET_SIZE):
         deployment = _start_fleet(size)
         try:
@@ -196,7 +206,7 @@
 
 
 def list_benches() -> Benches:
-    """Return the benches of many nodes by name."""
+    """Return the benchmarks of many nodes by name."""
     return {
         'membership': bench_membership,
         'configuration': bench_configuration,
--- a/merlintrail/bench/_forwarder.py
+++ b/merlintrail/bench/_forwarder.py
@@ -1,7 +1,7 @@
-"""Plain forwarder, the baseline of the overload benches.
+"""Forwarder without overload control, the baseline of overload benchmarks.
 
-It stands where a node stands, with every policy off: calls go to servers of
-a service in turn, and a failed call is tried three more times at each hop.
+It takes the place of a node. Calls go to the servers of a service in
+round-robin order, and a failed call is retried up to three times at each hop.
 """
 
 import asyncio
@@ -27,27 +27,29 @@
     start_server,
 )
 
-_PLAN: Final = flags.DEFINE_string('plan', '{}', 'Plan of the forwarder.')
-#: Tries beyond the first, at each hop.
+_PLAN: Final = flags.DEFINE_string(
+    'plan', '{}', 'Plan of the forwarder as JSON.'
+)
+#: Maximum number of retries of a call at each hop.
 MAX_RETRIES: Final = 3
-#: Seconds for a call without a deadline.
+#: Timeout of a call without a deadline.
 DEFAULT_TIMEOUT_S: Final = 2.0
 _MIN_FAILURE_STATUS: Final = 500
 _MS_PER_S: Final = 1000
 
 
 class ForwarderPlan(NamedTuple):
-    """Addresses that a forwarder is told."""
+    """Addresses of a forwarder and its peers, passed to its process as JSON."""
 
     call_address: str
     peer_address: str
     backend_address: str
-    #: Peer addresses of each service.
+    #: Peer addresses by service.
     table: Mapping[str, Sequence[str]]
 
 
 class Forwarder:
-    """Forwards calls without any policy."""
+    """Forwards calls without overload control."""
 
     def __init__(self, plan: ForwarderPlan) -> None:
         self._plan = plan
@@ -59,7 +61,11 @@
         self._retries = 0
 
     async def handle_call(self, request: HttpRequest) -> HttpResponse:
-        """Forward a call of a caller or of the backend server."""
+        """Forward a call from a caller or from the backend server.
+
+        ``/-/retries`` returns the number of retries, any other path under
+        ``/-/`` an empty object.
+        """
         if request.target == '/-/retries':
             return HttpResponse(200, (), encode_json(self._retries))
         if request.target.startswith('/-/'):
@@ -76,7 +82,7 @@
         return answer
 
     async def handle_peer(self, request: HttpRequest) -> HttpResponse:
-        """Forward a call to the backend server."""
+        """Forward a call from another forwarder to the backend server."""
         return await self._send(
             self._plan.backend_address, request.target, request
         )
--- a/merlintrail/bench/_latency.py
+++ b/merlintrail/bench/_latency.py
@@ -1,4 +1,7 @@
-"""Benches of the call path: added latency, CPU a call, idle cost."""
+"""Benchmarks of the call path: added latency, CPU per call, idle cost.
+
+This module also starts the deployments of the other benchmarks.
+"""
 
 import asyncio
 import os
@@ -15,11 +18,11 @@
 from merlintrail.lab.processes import Deployment, WorkerPlan
 from merlintrail.transport import ConnectionPool, HttpResponse, create_pool
 
-#: Calls a second through each node.
+#: Call rate for each address.
 CALLS_PER_S: Final = 250.0
-#: Seconds of one measurement.
+#: Seconds of one measurement, without its warm-up.
 MEASUREMENT_S: Final = 12.0
-#: Seconds before a measurement counts.
+#: Seconds of load before latencies are recorded.
 WARMUP_S: Final = 2.0
 #: Seconds over which the idle cost is measured.
 IDLE_MEASUREMENT_S: Final = 15.0
@@ -29,7 +32,7 @@
 
 
 def build_document(data_centres: int = 2) -> dict[str, Any]:
-    """Build the configuration of the latency benches."""
+    """Build a configuration document with the service ``echo``."""
     return {
         'format': 1,
         'services': [
@@ -69,7 +72,11 @@
 def start_deployment(
     plans: Sequence[WorkerPlan], data_centres: int
 ) -> Deployment:
-    """Start a deployment and wait until all know each other."""
+    """Start a deployment with a store.
+
+    Return once every node has the configuration and reports all members and
+    backend servers.
+    """
     deployment = Deployment()
     try:
         _start_and_configure(deployment, plans, data_centres)
@@ -90,28 +97,34 @@
 
 
 def read_cpu_s(process_id: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the processor time of a process, user and system, in seconds."""
     fields = Path(f'/proc/{process_id}/stat').read_text().split()
     return (int(fields[13]) + int(fields[14])) / os.sysconf('SC_CLK_TCK')
 
 
 def read_memory_bytes(process_id: int) -> int:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in bytes."""
     pages = int(Path(f'/proc/{process_id}/statm').read_text().split()[1])
     return pages * os.sysconf('SC_PAGE_SIZE')
 
 
 class CallProber:
-    """Sends calls at a fixed rate, direct and through nodes in turn."""
+    """Sends calls to several addresses in turn and records their latencies."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
+        #: Latencies in seconds by name of the address, without those of the
+        #: warm-up and of calls that got no answer.
         self.latencies: dict[str, list[float]] = {}
-        #: Calls sent to each address, those of the warm-up included.
+        #: Number of calls by name of the address, including the warm-up.
         self.sent: Counter[str] = Counter()
 
     async def run(self, addresses: dict[str, str], rate: float) -> None:
-        """Send to every address at a rate each."""
+        """Send calls at random intervals.
+
+        :param addresses: addresses by name.
+        :param rate: mean calls per second to each address.
+        """
         loop = asyncio.get_running_loop()
         rng = random.Random(1)
         started_at = loop.time()
@@ -129,7 +142,7 @@
         await asyncio.gather(*tasks)
 
     def compute_quantile(self, name: str, quantile: float) -> float:
-        """Return a quantile in milliseconds."""
+        """Return a quantile of the latencies in milliseconds."""
         ordered = sorted(self.latencies[name])
         index = min(len(ordered) - 1, int(len(ordered) * quantile))
         return ordered[index] * _MS_PER_S
@@ -161,7 +174,7 @@
 
 
 def bench_added_latency(_: int) -> None:
-    """Two nodes in line against direct calls, interleaved."""
+    """Compare calls through two nodes with interleaved direct calls."""
     deployment = _start_node_pair()
     try:
         prober = CallProber(create_pool())
@@ -187,7 +200,7 @@
 
 
 def bench_call_cpu(_: int) -> None:
-    """Processor time of one call at each of two nodes."""
+    """Measure the processor time per call at each of two nodes."""
     deployment = _start_node_pair()
     try:
         process_ids = {
@@ -213,7 +226,7 @@
 
 
 def build_fleet_plans(size: int, data_centres: int) -> list[WorkerPlan]:
-    """Build nodes without backend servers in several data centres."""
+    """Build plans of nodes without backend servers in several data centres."""
     return [
         WorkerPlan(f'node-{number}', f'dc-{number % data_centres}', None)
         for number in range(size)
@@ -221,15 +234,18 @@
 
 
 class IdleCost(NamedTuple):
-    """What a node without calls costs, on average over a fleet."""
+    """Cost of a node without calls."""
 
+    #: Mean share of a processor core.
     core_share: float
+    #: Highest resident memory of all nodes.
     memory_mb: float
+    #: Mean control traffic of a node, sent and received.
     bytes_per_s: float
 
 
 def measure_idle_cost(size: int) -> IdleCost:
-    """Measure the idle cost at a number of nodes."""
+    """Measure the idle cost of a node in a deployment of some size."""
     deployment = start_deployment(build_fleet_plans(size, 6), 6)
     try:
         time.sleep(8)
@@ -262,7 +278,7 @@
 
 
 def bench_idle_cost(_: int) -> None:
-    """What a node costs that serves no calls, at 24 nodes."""
+    """Measure the cost of a node without calls, with 24 nodes."""
     print_idle_cost('idle_cost', measure_idle_cost(24))
 
 
@@ -275,7 +291,7 @@
 
 
 def list_benches() -> Benches:
-    """Return the benches of the call path by name."""
+    """Return the benchmarks of the call path by name."""
     return {
         'added_latency': bench_added_latency,
         'call_cpu': bench_call_cpu,
--- a/merlintrail/bench/_libraries.py
+++ b/merlintrail/bench/_libraries.py
@@ -1,4 +1,4 @@
-"""Bench of HTTP libraries: two least forwarders in line on each."""
+"""Benchmark of HTTP libraries, each with two minimal forwarders in series."""
 
 import time
 from typing import Final
@@ -12,15 +12,15 @@
 from merlintrail.lab.processes import Deployment
 from merlintrail.transport import create_pool
 
-#: Calls a second, direct and through the forwarders each.
+#: Rate of the direct calls and of those through the forwarders.
 CALLS_PER_S: Final = 250.0
-#: Seconds until the processes listen.
+#: Seconds after which the processes are expected to listen.
 STARTUP_S: Final = 2.0
 _MS_PER_S: Final = 1000
 
 
 def bench_http_libraries(_: int) -> None:
-    """Latency and processor time of each library."""
+    """Measure latency and processor time per call for each library."""
     for library in FORWARDERS:
         _measure_library(library)
 
@@ -75,5 +75,5 @@
 
 
 def list_benches() -> Benches:
-    """Return the bench by name."""
+    """Return the benchmark by name."""
     return {'http_libraries': bench_http_libraries}
--- a/merlintrail/bench/_outcomes.py
+++ b/merlintrail/bench/_outcomes.py
@@ -1,4 +1,4 @@
-"""Benches of certain outcomes: ledger, drain, silent connections."""
+"""Benchmarks of outcomes: ledger, drain, planned stop, dropped traffic."""
 
 import asyncio
 import random
@@ -15,15 +15,19 @@
 from merlintrail.lab.relay import Relay
 from merlintrail.load import LoadGenerator, LoadKind, LoadResult
 
-#: Requests a second while connections go silent.
+#: Request rate while connections drop traffic.
 REQUESTS_PER_S: Final = 100.0
-#: Seconds of load before and after they do.
+#: Seconds of load before and after connections start to drop traffic.
 BEFORE_DROP_S: Final = 3.0
 AFTER_DROP_S: Final = 4.0
 
 
 def bench_ledger(_: int) -> None:
-    """Store writes and added latency of keyed requests at several rates."""
+    """Measure store writes and added latency of keyed requests.
+
+    Both are measured at several request rates; the added latency is that over
+    requests without a key.
+    """
     echo = {'service': 'echo', 'slots': 64, 'service_ms': 0}
     plans = [
         WorkerPlan(f'echo-{number}', f'dc-{number % 3}', echo)
@@ -75,7 +79,7 @@
 
 
 def _start_echo_fleet() -> Deployment:
-    """Start four workers in two data centres, and a node for callers."""
+    """Start four workers in two data centres and a node for callers."""
     plan = {'service': 'echo', 'slots': 32, 'service_ms': 20}
     return start_deployment(
         [
@@ -88,7 +92,11 @@
 
 
 def bench_drain(_: int) -> None:
-    """Drain a node under load: nothing is cut, nothing arrives later."""
+    """Drain a node under load.
+
+    The targets are that no request fails, and that the backend server begins no
+    call later than 2 s after the drain starts.
+    """
     deployment = _start_echo_fleet()
     try:
         late_calls, result = uvloop.run(_drain_under_load(deployment))
@@ -134,9 +142,12 @@
 async def _run_load_through_planned_stop(
     deployment: Deployment, starts_in_s: float
 ) -> tuple[LoadResult, bool]:
-    """Let a data centre's window come under load.
+    """Schedule a planned stop of a data centre and send requests meanwhile.
+
+    The load ends 3 s after the planned stop begins.
 
-    :returns: what callers saw, and whether its nodes ended in time.
+    :returns: results of the load, and whether the nodes with backend servers in
+        this data centre had exited when the stop began.
     """
     loop = asyncio.get_running_loop()
     document = build_document(2)
@@ -166,7 +177,11 @@
 
 
 def bench_planned_stop(_: int) -> None:
-    """A data centre's window under load: nothing is cut, nodes end first."""
+    """Stop a data centre under load.
+
+    The targets are that no request fails, and that the nodes have exited when
+    the planned stop begins.
+    """
     deployment = _start_echo_fleet()
     try:
         result, have_exited = uvloop.run(
@@ -174,15 +189,15 @@
         )
     finally:
         deployment.stop()
-    cut = len(result.samples) - result.whole
-    print_figure(Figure('planned_stop.cut_requests', cut, 'requests', 0))
+    failed = len(result.samples) - result.whole
+    print_figure(Figure('planned_stop.cut_requests', failed, 'requests', 0))
     print_figure(
         Figure('planned_stop.ended_in_time', float(have_exited), 'ratio', 1)
     )
 
 
 async def _run_load_with_dropped_traffic(relay: Relay) -> LoadResult:
-    """Let every connection between two nodes go silent under load."""
+    """Drop the traffic of every connection between two nodes under load."""
     loop = asyncio.get_running_loop()
     await relay.start()
     deployment = await loop.run_in_executor(
@@ -205,7 +220,11 @@
 
 
 def bench_silent_connections(_: int) -> None:
-    """Time until calls flow again when connections swallow bytes."""
+    """Measure the effect of connections that drop traffic without closing.
+
+    The figures are the longest latency of the requests sent from then on, and
+    the number of failed requests.
+    """
     for direction in ('forward', 'backward', 'both'):
         result = uvloop.run(_run_load_with_dropped_traffic(Relay(direction)))
         latencies_s = [
@@ -220,7 +239,7 @@
 
 
 def _start_pair_behind_relay(relay: Relay) -> Deployment:
-    """Start two nodes; the peer address of one leads through the relay."""
+    """Start two nodes, with the relay in front of the peer address of one."""
     echo = {'service': 'echo', 'slots': 64, 'service_ms': 5}
     deployment = start_deployment([WorkerPlan('entry', 'dc-0', None)], 2)
     plans = [WorkerPlan('far', 'dc-1', echo)]
@@ -233,7 +252,7 @@
 
 
 def list_benches() -> Benches:
-    """Return the benches of outcomes by name."""
+    """Return the benchmarks of outcomes by name."""
     return {
         'ledger': bench_ledger,
         'drain': bench_drain,
--- a/merlintrail/bench/_overload.py
+++ b/merlintrail/bench/_overload.py
@@ -1,4 +1,9 @@
-"""Overload benches: trigger, goodput and recovery, with a baseline."""
+"""Overload benchmarks: goodput and recovery, compared with a baseline.
+
+A steady load below capacity runs throughout. A trigger slows down or crashes
+backend servers or adds a surge of load for a time. The baseline is the same
+run with plain forwarders in place of the nodes.
+"""
 
 import asyncio
 import random
@@ -20,24 +25,30 @@
 from merlintrail.load import LoadGenerator, LoadKind, LoadResult
 
 _WITH_BASELINE: Final = flags.DEFINE_bool(
-    'with_baseline', True, 'Whether to measure the baseline too.'
+    'with_baseline', True, 'Whether to measure the baseline as well.'
 )
 _DETAILS: Final = flags.DEFINE_bool(
-    'details', False, 'Whether to print each second of each kind.'
+    'details',
+    False,
+    'Whether to print the results of each request kind for each second.',
 )
-#: Seconds of calm load before the trigger.
+#: Seconds of steady load before the trigger.
 PRE_TRIGGER_S: Final = 5.0
+#: Seconds for which the trigger lasts.
 TRIGGER_S: Final = 10.0
+#: Seconds of steady load after the trigger.
 POST_TRIGGER_S: Final = 10.0
-#: Load in calm, as a share of capacity.
+#: Steady load, as a multiple of the capacity.
 STEADY_LOAD_FACTOR: Final = 0.7
+#: Total load during a surge, as a multiple of the capacity.
 SURGE_LOAD_FACTOR: Final = 3.0
-#: Times that a client sends again during a surge.
+#: Number of times that clients retry failed requests of the surge.
 SURGE_CLIENT_RETRIES: Final = 3
+#: Factor by which the service time of slowed backend servers grows.
 SLOWDOWN_FACTOR: Final = 10.0
-#: Seconds of one step in which goodput is looked at.
+#: Seconds of the intervals in which goodput is measured after the trigger.
 GOODPUT_STEP_S: Final = 0.5
-#: Share of the calm goodput that counts as recovered.
+#: Share of the goodput before the trigger that counts as recovered.
 RECOVERED_GOODPUT_SHARE: Final = 0.95
 _TARGET_GOODPUT_RATIO: Final = 0.9
 _TARGET_RECOVERY_S: Final = 2.0
@@ -45,13 +56,17 @@
 
 
 class Trigger(NamedTuple):
-    """What goes wrong, and what that leaves of the capacity."""
+    """An overload scenario, which affects the deepest service or the load."""
 
     name: str
-    #: Capacity during the trigger as a share.
+    #: Share of the capacity that remains during the trigger.
     capacity_share: float
+    #: Whether the backend servers of the deepest service slow down, by
+    #: :data:`SLOWDOWN_FACTOR`.
     slows_backends: bool = False
+    #: Whether load is added, up to a total of :data:`SURGE_LOAD_FACTOR`.
     adds_surge: bool = False
+    #: Whether all but one backend server of the deepest service are killed.
     crashes_backends: bool = False
 
 
@@ -66,19 +81,25 @@
 
 
 class Measures(NamedTuple):
-    """What one run showed."""
+    """Figures of one run, printed under the names of the fields."""
 
+    #: Successful requests during the trigger, relative to what was possible.
     goodput_ratio: float
+    #: Seconds from the end of the trigger until goodput recovered.
     recovery_s: float
+    #: As the goodput ratio, for the kind of critical importance.
     top_importance_ratio: float
+    #: Share of the requests begun by backend servers beyond those that the
+    #: successful requests needed.
     wasted_share: float
+    #: Retries by nodes or forwarders, per request of a client.
     retries_per_request: float
 
 
 async def _run_load(
     rig: Rig, bench_deployment: BenchDeployment, trigger: Trigger, seed: int
 ) -> LoadResult:
-    """Send the calm load, the surge on top, and pull the trigger."""
+    """Send the steady load and, during the trigger, the surge."""
     entries = [
         worker.call_address for worker in rig.deployment.workers.values()
     ]
@@ -150,7 +171,7 @@
 def _print_details(
     bench_deployment: BenchDeployment, result: LoadResult
 ) -> None:
-    """Print what became of each kind in each second, for a person."""
+    """Print the results of each kind for each second around the trigger."""
     for kind in bench_deployment.kinds:
         kind_result = result.select(kind.name)
         for second in range(
@@ -159,12 +180,20 @@
             second_result = kind_result.between(second, second + 1)
             sys.stderr.write(
                 f'{kind.name} {second} sent {len(second_result.samples)} '
-                f'whole {second_result.whole} {dict(second_result.count_reasons())}\n'
+                f'whole {second_result.whole} '
+                f'{dict(second_result.count_reasons())}\n'
             )
 
 
 def _find_recovery(result: LoadResult) -> float:
-    """Return the seconds after the trigger until goodput is back."""
+    """Return the seconds from the end of the trigger until goodput recovered.
+
+    That is the start of the first two consecutive steps whose mean goodput
+    reaches the required share of the goodput before the trigger. The first
+    second of the run does not count.
+
+    :returns: :data:`POST_TRIGGER_S` if goodput did not recover.
+    """
     reference = result.between(1.0, PRE_TRIGGER_S).whole / (PRE_TRIGGER_S - 1.0)
     end = PRE_TRIGGER_S + TRIGGER_S
     steps = int(POST_TRIGGER_S / GOODPUT_STEP_S)
@@ -206,7 +235,11 @@
 
 
 def _compute_goodput_ratio(result: LoadResult, capacity: float) -> float:
-    """Compare whole answers during the trigger with what was possible."""
+    """Return the ratio of successful to attainable requests.
+
+    The first second and the last half second of the trigger are left out.
+    Attainable are the requests sent, up to the capacity.
+    """
     start_s = PRE_TRIGGER_S + 1.0
     end_s = PRE_TRIGGER_S + TRIGGER_S - 0.5
     during = result.between(start_s, end_s)
@@ -217,7 +250,7 @@
 def _compute_top_importance_ratio(
     bench_deployment: BenchDeployment, result: LoadResult, capacity: float
 ) -> float:
-    """Compare whole answers of the most important kind with what it sent."""
+    """Return the goodput ratio of the critical kind over the whole trigger."""
     top = next(
         kind.name
         for kind in bench_deployment.kinds
@@ -232,7 +265,7 @@
 def _count_useful_calls(
     bench_deployment: BenchDeployment, result: LoadResult
 ) -> int:
-    """Count the calls that belong to whole answers."""
+    """Count the calls that successful requests need, with nested calls."""
     children = {
         service.name: service.children for service in bench_deployment.services
     }
@@ -270,7 +303,7 @@
     *,
     with_baseline: bool = True,
 ) -> None:
-    """Measure one trigger and print its figures."""
+    """Run one trigger on a deployment and print its figures."""
     measures = _run_once(bench_deployment, trigger, seed, is_baseline=False)
     baseline = None
     if with_baseline:
@@ -296,7 +329,7 @@
 
 
 def list_benches() -> dict[str, Callable[[int], None]]:
-    """Return the overload benches by name."""
+    """Return the overload benchmarks by name."""
     benches: dict[str, Callable[[int], None]] = {}
     for trigger in TRIGGERS:
         benches[trigger.name] = _create_bench(BEDENREHBER, trigger)
--- a/merlintrail/bench/_plain_forwarder.py
+++ b/merlintrail/bench/_plain_forwarder.py
@@ -1,4 +1,4 @@
-"""The least forwarder on each of several HTTP libraries, to compare them."""
+"""Minimal forwarders on several HTTP libraries, to compare these."""
 
 import abc
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class PlainForwarder(abc.ABC):
-    """Forwards to one target, or echoes."""
+    """Forwards calls to one target, or echoes them if it has none."""
 
     def __init__(self, listen: str, target: str) -> None:
         host, port = split_host_port(listen)
@@ -40,14 +40,14 @@
 
     @abc.abstractmethod
     def run(self) -> None:
-        """Serve for ever."""
+        """Serve until the process ends."""
 
 
 class HttptoolsForwarder(PlainForwarder):
-    """The transport of the call path."""
+    """Uses the transport of the call path, which parses with httptools."""
 
     def run(self) -> None:
-        """Serve for ever."""
+        """Serve until the process ends."""
         uvloop.run(self._serve())
 
     async def _serve(self) -> None:
@@ -71,10 +71,10 @@
 
 
 class H11Forwarder(PlainForwarder):
-    """asyncio streams with the pure Python parser."""
+    """Uses asyncio streams and h11, a parser in pure Python."""
 
     def run(self) -> None:
-        """Serve for ever."""
+        """Serve until the process ends."""
         uvloop.run(self._serve())
 
     async def _serve(self) -> None:
@@ -132,7 +132,10 @@
 async def _receive(
     connection: Any, reader: asyncio.StreamReader
 ) -> bytes | None:
-    """Receive one message; return its body, ``None`` at the end."""
+    """Receive one message.
+
+    :returns: its body, or ``None`` if the connection is closed.
+    """
     parts = []
     while True:
         event = connection.next_event()
@@ -147,10 +150,10 @@
 
 
 class CherootForwarder(PlainForwarder):
-    """A thread for each call, as the house style has it."""
+    """Uses the WSGI server of Cheroot with a pool of threads."""
 
     def run(self) -> None:
-        """Serve for ever."""
+        """Serve until the process ends."""
         self._http = urllib3.PoolManager(maxsize=_THREAD_COUNT, retries=False)
         server: Any = wsgi.Server(
             (self.host, self.port),
@@ -176,7 +179,7 @@
 
 ForwarderTypes: TypeAlias = Mapping[str, type[PlainForwarder]]
 
-#: Forwarders by the name of their library.
+#: Forwarder classes by the name of their library.
 FORWARDERS: Final[ForwarderTypes] = {
     'httptools': HttptoolsForwarder,
     'h11': H11Forwarder,
--- a/merlintrail/bench/_rig.py
+++ b/merlintrail/bench/_rig.py
@@ -1,4 +1,4 @@
-"""A running bench deployment, with nodes or with plain forwarders."""
+"""Test rig of the overload benchmarks."""
 
 import time
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class Rig:
-    """A running deployment, with nodes or with plain forwarders."""
+    """Runs a bench deployment, with nodes or with baseline forwarders."""
 
     def __init__(
         self, bench_deployment: BenchDeployment, *, is_baseline: bool
@@ -23,7 +23,10 @@
         self.deployment = Deployment(log_level='warning')
 
     def start(self) -> None:
-        """Start all processes."""
+        """Start all processes.
+
+        Return once all nodes are ready, or after 2 s with forwarders.
+        """
         plans = self._bench_deployment.build_plans()
         if self._is_baseline:
             self.deployment.place_workers(plans)
@@ -40,7 +43,7 @@
         self.deployment.wait_until_ready(generation)
 
     def list_deepest_instances(self) -> list[str]:
-        """Return the workers of the deepest service."""
+        """Return the instances of the deepest service."""
         return [
             instance
             for instance in self.deployment.workers
@@ -48,7 +51,7 @@
         ]
 
     def count_retries(self) -> int:
-        """Return the retries of all nodes so far."""
+        """Return the number of retries by all nodes or forwarders."""
         if self._is_baseline:
             return sum(
                 orjson.loads(
@@ -69,7 +72,10 @@
         )
 
     def count_begun_requests(self) -> int:
-        """Return the requests begun by backend servers that live."""
+        """Return the number of requests begun by the running backend servers.
+
+        The count of a backend server is lost when it is killed.
+        """
         begun = 0
         for instance in self.deployment.workers:
             counts = self.deployment.control_backend(instance)['counts']
--- a/merlintrail/bench/soak.py
+++ b/merlintrail/bench/soak.py
@@ -1,4 +1,8 @@
-"""Many nodes under kills, pauses, store outages and changes: ``make soak``."""
+"""Soak test of membership and configuration; run it with ``make soak``.
+
+Nodes are killed and paused, the configuration changes and the store fails.
+Afterwards all nodes must agree on the members and the configuration.
+"""
 
 import random
 import signal
@@ -19,24 +23,30 @@
 )
 from merlintrail.lab.processes import Deployment
 
-_NODES: Final = flags.DEFINE_integer('nodes', 200, 'Nodes to run.')
+_NODES: Final = flags.DEFINE_integer('nodes', 200, 'Number of nodes.')
 _SEED: Final = flags.DEFINE_integer('seed', 1, 'Seed of the faults.')
-_DURATION: Final = flags.DEFINE_float('duration', 600.0, 'Seconds of faults.')
+_DURATION: Final = flags.DEFINE_float(
+    'duration', 600.0, 'Seconds during which faults are injected.'
+)
 
 DATA_CENTRE_COUNT: Final = 6
-#: Seconds between faults.
+#: Mean seconds between two faults.
 MEAN_FAULT_INTERVAL_S: Final = 2.0
-#: Seconds of the longest pause of a node.
+#: Longest pause of a node in seconds.
 MAX_PAUSE_S: Final = 8.0
-#: Seconds of the longest store outage.
+#: Longest outage of the store in seconds.
 MAX_OUTAGE_S: Final = 10.0
-#: Seconds within which all nodes must agree after the last fault.
+#: Seconds after the last fault within which all nodes must agree.
 AGREEMENT_TIMEOUT_S: Final = 60.0
 _BYTES_PER_MB: Final = 1e6
 
 
 class FleetFaultInjector:
-    """One run: faults by a seeded random source, then agreement."""
+    """Injects random faults into a deployment.
+
+    The first node is neither killed nor paused, because the deployment sends
+    operator requests to it by default.
+    """
 
     def __init__(self, deployment: Deployment, seed: int) -> None:
         self._deployment = deployment
@@ -44,11 +54,13 @@
         self._pause_ends_at: dict[str, float] = {}
         self._outage_ends_at = 0.0
         self._change_count = 0
-        #: Faults brought about, by kind.
+        #: Number of faults by kind, printed at the end: the names of the
+        #: methods without the leading ``_``. Changes of the configuration that
+        #: did not succeed are counted as ``refused changes``, too.
         self.faults: dict[str, int] = {}
 
     def run(self, duration_s: float) -> None:
-        """Bring about faults for a time, then end them all."""
+        """Inject faults for a time, then end all that are still in progress."""
         end = time.monotonic() + duration_s
         actions = (
             self._kill,
@@ -115,7 +127,13 @@
 
 
 def wait_for_agreement(deployment: Deployment) -> float | None:
-    """Return the seconds until every node knows the same."""
+    """Wait until all nodes report the same view of the deployment.
+
+    The view consists of the configuration generation, the number of members
+    and the member digest.
+
+    :returns: seconds until then, ``None`` after :data:`AGREEMENT_TIMEOUT_S`.
+    """
     started_at = time.monotonic()
     expected = len(deployment.workers)
     while time.monotonic() - started_at < AGREEMENT_TIMEOUT_S:
