--- a/merlintrail/bench/_worlds.py
+++ b/merlintrail/bench/_deployments.py
@@ -1,4 +1,4 @@
-"""Deployments of the benches: both of the brief, on a smaller scale."""
+"""Deployments of the overload benchmarks: two sites, scaled down."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, Final, NamedTuple
@@ -6,50 +6,56 @@
 from merlintrail.lab.processes import WorkerPlan
 from merlintrail.load import LoadKind
 
-#: Workers of each service.
-WORKERS: Final = 3
+#: Number of workers of each service, which are in different data centres.
+WORKERS_PER_SERVICE: Final = 3
 _MS_PER_S: Final = 1000
 
 
 class BenchService(NamedTuple):
-    """A service of a bench deployment."""
+    """A service of a bench deployment and its nested calls."""
 
     name: str
+    #: Number of requests that a backend server runs at a time.
     slots: int
+    #: Mean service time, without nested calls.
     service_ms: float
+    #: Targets of the nested calls, ``/SERVICE/PATH``.
     children: tuple[str, ...] = ()
 
 
-class BenchKind(NamedTuple):
+class BenchRequestKind(NamedTuple):
     """A request kind of a bench deployment."""
 
     service: str
     name: str
     importance: str
-    #: Share of the offered requests.
+    #: Share of the total load.
     share: float
     is_idempotent: bool = True
 
 
-class World(NamedTuple):
-    """A deployment and its request kinds."""
+class BenchDeployment(NamedTuple):
+    """Services and request kinds of a deployment."""
 
     name: str
     services: Sequence[BenchService]
-    kinds: Sequence[BenchKind]
-    #: The service at the end of every chain.
+    kinds: Sequence[BenchRequestKind]
+    #: The service at the end of every call chain.
     deepest: str
+    #: Deadline of every request kind.
     deadline_ms: float
 
     def compute_capacity(self) -> float:
-        """Return the requests a second that the deepest service can do."""
+        """Return the capacity of the deepest service in requests per second."""
         deepest = next(
             service for service in self.services if service.name == self.deepest
         )
-        return WORKERS * deepest.slots * _MS_PER_S / deepest.service_ms
+        return (
+            WORKERS_PER_SERVICE * deepest.slots * _MS_PER_S / deepest.service_ms
+        )
 
     def build_document(self) -> Mapping[str, Any]:
-        """Build the configuration."""
+        """Build the configuration document."""
         return {
             'format': 1,
             'services': [
@@ -64,14 +70,14 @@
                 {
                     'name': 'one',
                     'data_centres': [
-                        f'one-{number}' for number in range(WORKERS)
+                        f'one-{number}' for number in range(WORKERS_PER_SERVICE)
                     ],
                 }
             ],
         }
 
     def build_plans(self) -> list[WorkerPlan]:
-        """Build the workers."""
+        """Build the plans of all workers."""
         return [
             WorkerPlan(
                 f'{service.name}-{number}',
@@ -84,13 +90,17 @@
                 },
             )
             for service in self.services
-            for number in range(WORKERS)
+            for number in range(WORKERS_PER_SERVICE)
         ]
 
     def build_load(
         self, rate: float, client_retries: int = 0
     ) -> list[LoadKind]:
-        """Build the load of all kinds at a total rate."""
+        """Build the load of all request kinds.
+
+        :param rate: requests per second of all kinds together.
+        :param client_retries: times that a client retries a failed request.
+        """
         return [
             LoadKind(
                 kind.name,
@@ -128,7 +138,7 @@
         return kinds
 
 
-BEDENREHBER: Final = World(
+BEDENREHBER: Final = BenchDeployment(
     'bedenrehber',
     (
         BenchService('fitadvisor', 25, 20, ('/chartdesk/below',)),
@@ -137,16 +147,16 @@
         BenchService('partnerhub', 10, 50),
     ),
     (
-        BenchKind('fitadvisor', 'advice', 'critical', 0.1),
-        BenchKind('returnsdesk', 'returns', 'high', 0.2),
-        BenchKind('partnerhub', 'directory', 'normal', 0.2),
-        BenchKind('chartdesk', 'sync', 'low', 0.5),
+        BenchRequestKind('fitadvisor', 'advice', 'critical', 0.1),
+        BenchRequestKind('returnsdesk', 'returns', 'high', 0.2),
+        BenchRequestKind('partnerhub', 'directory', 'normal', 0.2),
+        BenchRequestKind('chartdesk', 'sync', 'low', 0.5),
     ),
     'partnerhub',
     2000,
 )
 
-RETTELSE: Final = World(
+RETTELSE: Final = BenchDeployment(
     'rettelse',
     (
         BenchService('tidslinje', 16, 20, ('/rettelser/below',)),
@@ -155,10 +165,10 @@
         BenchService('vault', 10, 60),
     ),
     (
-        BenchKind('rettelser', 'corrections', 'critical', 0.1),
-        BenchKind('tidslinje', 'lookup', 'high', 0.25),
-        BenchKind('noter', 'clarifications', 'normal', 0.2),
-        BenchKind('vault', 'index', 'low', 0.45),
+        BenchRequestKind('rettelser', 'corrections', 'critical', 0.1),
+        BenchRequestKind('tidslinje', 'lookup', 'high', 0.25),
+        BenchRequestKind('noter', 'clarifications', 'normal', 0.2),
+        BenchRequestKind('vault', 'index', 'low', 0.45),
     ),
     'vault',
     2000,
--- a/merlintrail/bench/_forwarder.py
+++ b/merlintrail/bench/_forwarder.py
@@ -1,7 +1,7 @@
-"""Plain forwarder, the baseline of the overload benches.
+"""Forwarder without overload control, the baseline of overload benchmarks.
 
-It stands where a node stands, with every policy off: calls go to servers of
-a service in turn, and a failed call is tried three more times at each hop.
+It takes the place of a node. Calls go to the servers of a service in
+round-robin order, and a failed call is retried up to three times at each hop.
 """
 
 import asyncio
@@ -27,56 +27,62 @@
     start_server,
 )
 
-_PLAN: Final = flags.DEFINE_string('plan', '{}', 'Plan of the forwarder.')
-#: Tries beyond the first, at each hop.
-RETRIES: Final = 3
-#: Seconds for a call without a deadline.
+_PLAN: Final = flags.DEFINE_string(
+    'plan', '{}', 'Plan of the forwarder as JSON.'
+)
+#: Maximum number of retries of a call at each hop.
+MAX_RETRIES: Final = 3
+#: Timeout of a call without a deadline.
 DEFAULT_TIMEOUT_S: Final = 2.0
-_FIRST_FAILURE: Final = 500
+_MIN_FAILURE_STATUS: Final = 500
 _MS_PER_S: Final = 1000
 
 
 class ForwarderPlan(NamedTuple):
-    """Addresses that a forwarder is told."""
+    """Addresses of a forwarder and its peers, passed to its process as JSON."""
 
     call_address: str
     peer_address: str
     backend_address: str
-    #: Peer addresses of each service.
+    #: Peer addresses by service.
     table: Mapping[str, Sequence[str]]
 
 
 class Forwarder:
-    """Forwards calls without any policy."""
+    """Forwards calls without overload control."""
 
     def __init__(self, plan: ForwarderPlan) -> None:
         self._plan = plan
         self._pool = create_pool()
-        self._turns = {
+        self._round_robin = {
             service: itertools.cycle(addresses)
             for service, addresses in plan.table.items()
         }
         self._retries = 0
 
     async def handle_call(self, request: HttpRequest) -> HttpResponse:
-        """Forward a call of a caller or of the backend server."""
+        """Forward a call from a caller or from the backend server.
+
+        ``/-/retries`` returns the number of retries, any other path under
+        ``/-/`` an empty object.
+        """
         if request.target == '/-/retries':
             return HttpResponse(200, (), encode_json(self._retries))
         if request.target.startswith('/-/'):
             return HttpResponse(200, (), b'{}')
         _, service, rest = request.target.split('/', 2)
         answer = HttpResponse(503, (), b'')
-        for attempt in range(RETRIES + 1):
+        for attempt in range(MAX_RETRIES + 1):
             self._retries += 1 if attempt else 0
             answer = await self._send(
-                next(self._turns[service]), f'/{rest}', request
+                next(self._round_robin[service]), f'/{rest}', request
             )
-            if answer.status < _FIRST_FAILURE:
+            if answer.status < _MIN_FAILURE_STATUS:
                 break
         return answer
 
     async def handle_peer(self, request: HttpRequest) -> HttpResponse:
-        """Forward a call to the backend server."""
+        """Forward a call from another forwarder to the backend server."""
         return await self._send(
             self._plan.backend_address, request.target, request
         )
--- a/merlintrail/bench/_latency.py
+++ b/merlintrail/bench/_latency.py
@@ -1,4 +1,7 @@
-"""Benches of the call path: added latency, CPU a call, idle cost."""
+"""Benchmarks of the call path: added latency, CPU per call, idle cost.
+
+This module also starts the deployments of the other benchmarks.
+"""
 
 import asyncio
 import os
@@ -15,21 +18,21 @@
 from merlintrail.lab.processes import Deployment, WorkerPlan
 from merlintrail.transport import ConnectionPool, HttpResponse, create_pool
 
-#: Calls a second through each node.
-RATE: Final = 250.0
-#: Seconds of one measurement.
-DURATION_S: Final = 12.0
-#: Seconds before a measurement counts.
+#: Call rate for each address.
+CALLS_PER_S: Final = 250.0
+#: Seconds of one measurement, without its warm-up.
+MEASUREMENT_S: Final = 12.0
+#: Seconds of load before latencies are recorded.
 WARMUP_S: Final = 2.0
 #: Seconds over which the idle cost is measured.
-IDLE_S: Final = 15.0
+IDLE_MEASUREMENT_S: Final = 15.0
 _BODY: Final = b'.' * 512
 _MS_PER_S: Final = 1000
 _BYTES_PER_MB: Final = 1e6
 
 
 def build_document(data_centres: int = 2) -> dict[str, Any]:
-    """Build the configuration of the latency benches."""
+    """Build a configuration document with the service ``echo``."""
     return {
         'format': 1,
         'services': [
@@ -69,7 +72,11 @@
 def start_deployment(
     plans: Sequence[WorkerPlan], data_centres: int
 ) -> Deployment:
-    """Start a deployment and wait until all know each other."""
+    """Start a deployment with a store.
+
+    Return once every node has the configuration and reports all members and
+    backend servers.
+    """
     deployment = Deployment()
     try:
         _start_and_configure(deployment, plans, data_centres)
@@ -90,36 +97,42 @@
 
 
 def read_cpu_s(process_id: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the processor time of a process, user and system, in seconds."""
     fields = Path(f'/proc/{process_id}/stat').read_text().split()
     return (int(fields[13]) + int(fields[14])) / os.sysconf('SC_CLK_TCK')
 
 
 def read_memory_bytes(process_id: int) -> int:
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in bytes."""
     pages = int(Path(f'/proc/{process_id}/statm').read_text().split()[1])
     return pages * os.sysconf('SC_PAGE_SIZE')
 
 
 class CallProber:
-    """Sends calls at a fixed rate, direct and through nodes in turn."""
+    """Sends calls to several addresses in turn and records their latencies."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
+        #: Latencies in seconds by name of the address, without those of the
+        #: warm-up and of calls that got no answer.
         self.latencies: dict[str, list[float]] = {}
-        #: Calls sent to each address, those of the warm-up included.
+        #: Number of calls by name of the address, including the warm-up.
         self.sent: Counter[str] = Counter()
 
     async def run(self, addresses: dict[str, str], rate: float) -> None:
-        """Send to every address at a rate each."""
+        """Send calls at random intervals.
+
+        :param addresses: addresses by name.
+        :param rate: mean calls per second to each address.
+        """
         loop = asyncio.get_running_loop()
-        source = random.Random(1)
+        rng = random.Random(1)
         started_at = loop.time()
         due = started_at
         tasks = []
-        while due < started_at + DURATION_S + WARMUP_S:
+        while due < started_at + MEASUREMENT_S + WARMUP_S:
             for name, address in addresses.items():
-                due += source.expovariate(rate * len(addresses))
+                due += rng.expovariate(rate * len(addresses))
                 await asyncio.sleep(max(0.0, due - loop.time()))
                 self.sent[name] += 1
                 is_counted = due > started_at + WARMUP_S
@@ -129,47 +142,47 @@
         await asyncio.gather(*tasks)
 
     def compute_quantile(self, name: str, quantile: float) -> float:
-        """Return a quantile in milliseconds."""
+        """Return a quantile of the latencies in milliseconds."""
         ordered = sorted(self.latencies[name])
-        place = min(len(ordered) - 1, int(len(ordered) * quantile))
-        return ordered[place] * _MS_PER_S
+        index = min(len(ordered) - 1, int(len(ordered) * quantile))
+        return ordered[index] * _MS_PER_S
 
     async def _call(self, name: str, address: str, is_counted: bool) -> None:
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        clock_at = time.perf_counter()
+        timer_started_at = time.perf_counter()
         answer = await self._pool.exchange(
             address, 'POST', '/echo/call', (('host', 'x'),), _BODY
         )
-        elapsed_s = time.perf_counter() - clock_at
+        elapsed_s = time.perf_counter() - timer_started_at
         if is_counted and isinstance(answer, HttpResponse):
             assert answer.status == 200, (answer, started_at)
             self.latencies.setdefault(name, []).append(elapsed_s)
 
 
-_ECHO: Final = {'service': 'echo', 'slots': 64, 'service_ms': 0}
+_ECHO_BACKEND: Final = {'service': 'echo', 'slots': 64, 'service_ms': 0}
 
 
-def _start_pair() -> Deployment:
+def _start_node_pair() -> Deployment:
     return start_deployment(
         [
             WorkerPlan('front', 'dc-0', None),
-            WorkerPlan('back', 'dc-1', _ECHO),
+            WorkerPlan('back', 'dc-1', _ECHO_BACKEND),
         ],
         2,
     )
 
 
 def bench_added_latency(_: int) -> None:
-    """Two nodes in line against direct calls, interleaved."""
-    deployment = _start_pair()
+    """Compare calls through two nodes with interleaved direct calls."""
+    deployment = _start_node_pair()
     try:
         prober = CallProber(create_pool())
         addresses = {
             'direct': deployment.workers['back'].backend_address,
             'nodes': deployment.workers['front'].call_address,
         }
-        uvloop.run(prober.run(addresses, RATE))
+        uvloop.run(prober.run(addresses, CALLS_PER_S))
     finally:
         deployment.stop()
     for name, quantile, target in (('p50', 0.5, None), ('p99', 0.99, 0.43)):
@@ -187,22 +200,22 @@
 
 
 def bench_call_cpu(_: int) -> None:
-    """Processor time of one call at each of two nodes."""
-    deployment = _start_pair()
+    """Measure the processor time per call at each of two nodes."""
+    deployment = _start_node_pair()
     try:
-        identifiers = {
+        process_ids = {
             name: deployment.read_process_id(f'node {name}')
             for name in ('front', 'back')
         }
         address = deployment.workers['front'].call_address
         prober = CallProber(create_pool())
-        before = {name: read_cpu_s(pid) for name, pid in identifiers.items()}
-        uvloop.run(prober.run({'nodes': address}, RATE * 2))
-        after = {name: read_cpu_s(pid) for name, pid in identifiers.items()}
+        before = {name: read_cpu_s(pid) for name, pid in process_ids.items()}
+        uvloop.run(prober.run({'nodes': address}, CALLS_PER_S * 2))
+        after = {name: read_cpu_s(pid) for name, pid in process_ids.items()}
     finally:
         deployment.stop()
-    calls = RATE * 2 * (DURATION_S + WARMUP_S)
-    for name in identifiers:
+    calls = CALLS_PER_S * 2 * (MEASUREMENT_S + WARMUP_S)
+    for name in process_ids:
         print_figure(
             Figure(
                 f'call_cpu.{name}_ms',
@@ -212,8 +225,8 @@
         )
 
 
-def build_fleet(size: int, data_centres: int) -> list[WorkerPlan]:
-    """Build nodes without backend servers in several data centres."""
+def build_fleet_plans(size: int, data_centres: int) -> list[WorkerPlan]:
+    """Build plans of nodes without backend servers in several data centres."""
     return [
         WorkerPlan(f'node-{number}', f'dc-{number % data_centres}', None)
         for number in range(size)
@@ -221,34 +234,37 @@
 
 
 class IdleCost(NamedTuple):
-    """What a node without calls costs, on average over a fleet."""
+    """Cost of a node without calls."""
 
+    #: Mean share of a processor core.
     core_share: float
+    #: Highest resident memory of all nodes.
     memory_mb: float
+    #: Mean control traffic of a node, sent and received.
     bytes_per_s: float
 
 
 def measure_idle_cost(size: int) -> IdleCost:
-    """Measure the idle cost at a number of nodes."""
-    deployment = start_deployment(build_fleet(size, 6), 6)
+    """Measure the idle cost of a node in a deployment of some size."""
+    deployment = start_deployment(build_fleet_plans(size, 6), 6)
     try:
         time.sleep(8)
-        identifiers = [
+        process_ids = [
             deployment.read_process_id(f'node {instance}')
             for instance in deployment.workers
         ]
-        cpu_before = sum(read_cpu_s(pid) for pid in identifiers)
+        cpu_before = sum(read_cpu_s(pid) for pid in process_ids)
         bytes_before = _sum_control_bytes(deployment)
-        time.sleep(IDLE_S)
-        cpu_after = sum(read_cpu_s(pid) for pid in identifiers)
+        time.sleep(IDLE_MEASUREMENT_S)
+        cpu_after = sum(read_cpu_s(pid) for pid in process_ids)
         bytes_after = _sum_control_bytes(deployment)
-        memory = max(read_memory_bytes(pid) for pid in identifiers)
+        memory = max(read_memory_bytes(pid) for pid in process_ids)
     finally:
         deployment.stop()
     return IdleCost(
-        (cpu_after - cpu_before) / IDLE_S / size,
+        (cpu_after - cpu_before) / IDLE_MEASUREMENT_S / size,
         memory / _BYTES_PER_MB,
-        (bytes_after - bytes_before) / IDLE_S / size,
+        (bytes_after - bytes_before) / IDLE_MEASUREMENT_S / size,
     )
 
 
@@ -262,7 +278,7 @@
 
 
 def bench_idle_cost(_: int) -> None:
-    """What a node costs that serves no calls, at 24 nodes."""
+    """Measure the cost of a node without calls, with 24 nodes."""
     print_idle_cost('idle_cost', measure_idle_cost(24))
 
 
@@ -275,7 +291,7 @@
 
 
 def list_benches() -> Benches:
-    """Return the benches of the call path by name."""
+    """Return the benchmarks of the call path by name."""
     return {
         'added_latency': bench_added_latency,
         'call_cpu': bench_call_cpu,
--- a/merlintrail/bench/_libraries.py
+++ b/merlintrail/bench/_libraries.py
@@ -1,4 +1,4 @@
-"""Bench of HTTP libraries: two least forwarders in line on each."""
+"""Benchmark of HTTP libraries, each with two minimal forwarders in series."""
 
 import time
 from typing import Final
@@ -12,15 +12,15 @@
 from merlintrail.lab.processes import Deployment
 from merlintrail.transport import create_pool
 
-#: Calls a second, direct and through the forwarders each.
-RATE: Final = 250.0
-#: Seconds until the processes listen.
-START_S: Final = 2.0
+#: Rate of the direct calls and of those through the forwarders.
+CALLS_PER_S: Final = 250.0
+#: Seconds after which the processes are expected to listen.
+STARTUP_S: Final = 2.0
 _MS_PER_S: Final = 1000
 
 
 def bench_http_libraries(_: int) -> None:
-    """Latency and processor time of each library."""
+    """Measure latency and processor time per call for each library."""
     for library in FORWARDERS:
         _measure_library(library)
 
@@ -33,9 +33,9 @@
         _start_forwarder(deployment, 'httptools', echo, '')
         _start_forwarder(deployment, library, second, echo)
         _start_forwarder(deployment, library, first, second)
-        time.sleep(START_S)
+        time.sleep(STARTUP_S)
         before = _sum_cpu(deployment, first, second)
-        uvloop.run(prober.run({'direct': echo, 'line': first}, RATE))
+        uvloop.run(prober.run({'direct': echo, 'line': first}, CALLS_PER_S))
         cpu_s = _sum_cpu(deployment, first, second) - before
     finally:
         deployment.stop()
@@ -75,5 +75,5 @@
 
 
 def list_benches() -> Benches:
-    """Return the bench by name."""
+    """Return the benchmark by name."""
     return {'http_libraries': bench_http_libraries}
--- a/merlintrail/bench/_outcomes.py
+++ b/merlintrail/bench/_outcomes.py
@@ -1,4 +1,4 @@
-"""Benches of certain outcomes: ledger, drain, silent connections."""
+"""Benchmarks of outcomes: ledger, drain, planned stop, dropped traffic."""
 
 import asyncio
 import random
@@ -15,15 +15,19 @@
 from merlintrail.lab.relay import TcpRelay
 from merlintrail.load import LoadGenerator, LoadKind, LoadResult
 
-#: Requests a second while connections go silent.
-SILENT_RATE: Final = 100.0
-#: Seconds of load before and after they do.
-BEFORE_S: Final = 3.0
-AFTER_S: Final = 4.0
+#: Request rate while connections drop traffic.
+REQUESTS_PER_S: Final = 100.0
+#: Seconds of load before and after connections start to drop traffic.
+BEFORE_DROP_S: Final = 3.0
+AFTER_DROP_S: Final = 4.0
 
 
 def bench_ledger(_: int) -> None:
-    """Store writes and added latency of keyed requests at several rates."""
+    """Measure store writes and added latency of keyed requests.
+
+    Both are measured at several request rates; the added latency is that over
+    requests without a key.
+    """
     echo = {'service': 'echo', 'slots': 64, 'service_ms': 0}
     plans = [
         WorkerPlan(f'echo-{number}', f'dc-{number % 3}', echo)
@@ -40,28 +44,28 @@
 
 def _measure_ledger(deployment: Deployment, rate: int) -> None:
     entries = [worker.call_address for worker in deployment.workers.values()]
-    seconds = 8.0
+    duration_s = 8.0
 
     async def send(kind: LoadKind) -> Any:
         generator = LoadGenerator(entries, random.Random(rate))
-        return await generator.run([kind], seconds)
+        return await generator.run([kind], duration_s)
 
-    plain = uvloop.run(send(LoadKind('call', '/echo/call', rate, 1000)))
+    unkeyed = uvloop.run(send(LoadKind('call', '/echo/call', rate, 1000)))
     before = deployment.read_store_counts()
     keyed = uvloop.run(
         send(LoadKind('once', '/echo/once', rate, 3000, is_keyed=True))
     )
     after = deployment.read_store_counts()
-    writes = (after['write'] - before.get('write', 0)) / seconds
+    writes = (after['write'] - before.get('write', 0)) / duration_s
     print_figure(Figure(f'ledger.writes_per_s_at_{rate}', writes, '1/s', 300))
     for name, quantile in (('p50', 0.5), ('p99', 0.99)):
         print_figure(
             Figure(
                 f'ledger.added_{name}_ms_at_{rate}',
                 keyed.compute_quantile_ms(quantile)
-                - plain.compute_quantile_ms(quantile),
+                - unkeyed.compute_quantile_ms(quantile),
                 'ms',
-                baseline=plain.compute_quantile_ms(quantile),
+                baseline=unkeyed.compute_quantile_ms(quantile),
             )
         )
     print_figure(
@@ -75,7 +79,7 @@
 
 
 def _start_echo_fleet() -> Deployment:
-    """Start four workers in two data centres, and a node for callers."""
+    """Start four workers in two data centres and a node for callers."""
     plan = {'service': 'echo', 'slots': 32, 'service_ms': 20}
     return start_deployment(
         [
@@ -88,13 +92,17 @@
 
 
 def bench_drain(_: int) -> None:
-    """Drain a node under load: nothing is cut, nothing arrives later."""
+    """Drain a node under load.
+
+    The targets are that no request fails, and that the backend server begins no
+    call later than 2 s after the drain starts.
+    """
     deployment = _start_echo_fleet()
     try:
-        late, result = uvloop.run(_drain_under_load(deployment))
+        late_calls, result = uvloop.run(_drain_under_load(deployment))
     finally:
         deployment.stop()
-    print_figure(Figure('drain.calls_after_2_s', late, 'calls', 0))
+    print_figure(Figure('drain.calls_after_2_s', late_calls, 'calls', 0))
     print_figure(
         Figure(
             'drain.cut_requests',
@@ -116,23 +124,30 @@
     await asyncio.sleep(3)
     deployment.send_signal('node echo-1', signal.SIGTERM)
     await asyncio.sleep(2)
-    begun = await loop.run_in_executor(None, _count_begun, deployment)
+    begun_before = await loop.run_in_executor(
+        None, _count_begun_requests, deployment
+    )
     await asyncio.sleep(3)
-    late = await loop.run_in_executor(None, _count_begun, deployment)
-    return late - begun, await load
+    begun_after = await loop.run_in_executor(
+        None, _count_begun_requests, deployment
+    )
+    return begun_after - begun_before, await load
 
 
-def _count_begun(deployment: Deployment) -> int:
+def _count_begun_requests(deployment: Deployment) -> int:
     counts = deployment.control_backend('echo-1')['counts']
     return int(counts.get('begun', 0))
 
 
-async def _stop_under_load(
+async def _run_load_through_planned_stop(
     deployment: Deployment, starts_in_s: float
 ) -> tuple[LoadResult, bool]:
-    """Let a data centre's window come under load.
+    """Schedule a planned stop of a data centre and send requests meanwhile.
+
+    The load ends 3 s after the planned stop begins.
 
-    :returns: what callers saw, and whether its nodes ended in time.
+    :returns: results of the load, and whether the nodes with backend servers in
+        this data centre had exited when the stop began.
     """
     loop = asyncio.get_running_loop()
     document = build_document(2)
@@ -155,38 +170,48 @@
     ]
     load = loop.create_task(generator.run(kinds, starts_in_s + 3))
     await asyncio.sleep(max(0.0, starts_at.timestamp() - time.time()))
-    are_ended = all(
+    have_exited = all(
         deployment.has_exited(f'node {name}') for name in ('echo-1', 'echo-3')
     )
-    return await load, are_ended
+    return await load, have_exited
 
 
 def bench_planned_stop(_: int) -> None:
-    """A data centre's window under load: nothing is cut, nodes end first."""
+    """Stop a data centre under load.
+
+    The targets are that no request fails, and that the nodes have exited when
+    the planned stop begins.
+    """
     deployment = _start_echo_fleet()
     try:
-        result, are_ended = uvloop.run(_stop_under_load(deployment, 14))
+        result, have_exited = uvloop.run(
+            _run_load_through_planned_stop(deployment, 14)
+        )
     finally:
         deployment.stop()
-    cut = len(result.samples) - result.success_count
-    print_figure(Figure('planned_stop.cut_requests', cut, 'requests', 0))
+    failed = len(result.samples) - result.success_count
+    print_figure(Figure('planned_stop.cut_requests', failed, 'requests', 0))
     print_figure(
-        Figure('planned_stop.ended_in_time', float(are_ended), 'ratio', 1)
+        Figure('planned_stop.ended_in_time', float(have_exited), 'ratio', 1)
     )
 
 
-async def _send_through_silence(relay: TcpRelay) -> LoadResult:
-    """Let every connection between two nodes go silent under load."""
+async def _run_load_with_dropped_traffic(relay: TcpRelay) -> LoadResult:
+    """Drop the traffic of every connection between two nodes under load."""
     loop = asyncio.get_running_loop()
     await relay.start()
-    deployment = await loop.run_in_executor(None, _start_behind_relay, relay)
+    deployment = await loop.run_in_executor(
+        None, _start_pair_behind_relay, relay
+    )
     try:
         generator = LoadGenerator(
             [deployment.workers['entry'].call_address], random.Random(1)
         )
-        kind = LoadKind('call', '/echo/call', SILENT_RATE, 1000)
-        load = loop.create_task(generator.run([kind], BEFORE_S + AFTER_S))
-        await asyncio.sleep(BEFORE_S)
+        kind = LoadKind('call', '/echo/call', REQUESTS_PER_S, 1000)
+        load = loop.create_task(
+            generator.run([kind], BEFORE_DROP_S + AFTER_DROP_S)
+        )
+        await asyncio.sleep(BEFORE_DROP_S)
         relay.drop_traffic()
         return await load
     finally:
@@ -195,22 +220,26 @@
 
 
 def bench_silent_connections(_: int) -> None:
-    """Time until calls flow again when connections swallow bytes."""
+    """Measure the effect of connections that drop traffic without closing.
+
+    The figures are the longest latency of the requests sent from then on, and
+    the number of failed requests.
+    """
     for direction in ('forward', 'backward', 'both'):
-        result = uvloop.run(_send_through_silence(TcpRelay(direction)))
-        slow = [
+        result = uvloop.run(_run_load_with_dropped_traffic(TcpRelay(direction)))
+        latencies_s = [
             sample.latency_s
             for sample in result.samples
-            if sample.sent_at >= BEFORE_S
+            if sample.sent_at >= BEFORE_DROP_S
         ]
         prefix = f'silent_connections.{direction}'
-        lost = len(result.samples) - result.success_count
-        print_figure(Figure(f'{prefix}_longest_s', max(slow), 's', 1))
-        print_figure(Figure(f'{prefix}_lost', lost, 'requests', 0))
+        failed = len(result.samples) - result.success_count
+        print_figure(Figure(f'{prefix}_longest_s', max(latencies_s), 's', 1))
+        print_figure(Figure(f'{prefix}_lost', failed, 'requests', 0))
 
 
-def _start_behind_relay(relay: TcpRelay) -> Deployment:
-    """Start two nodes; the peer address of one leads through the relay."""
+def _start_pair_behind_relay(relay: TcpRelay) -> Deployment:
+    """Start two nodes, with the relay in front of the peer address of one."""
     echo = {'service': 'echo', 'slots': 64, 'service_ms': 5}
     deployment = start_deployment([WorkerPlan('entry', 'dc-0', None)], 2)
     plans = [WorkerPlan('far', 'dc-1', echo)]
@@ -223,7 +252,7 @@
 
 
 def list_benches() -> Benches:
-    """Return the benches of outcomes by name."""
+    """Return the benchmarks of outcomes by name."""
     return {
         'ledger': bench_ledger,
         'drain': bench_drain,
--- a/merlintrail/bench/_plain_forwarder.py
+++ b/merlintrail/bench/_plain_forwarder.py
@@ -1,4 +1,4 @@
-"""The least forwarder on each of several HTTP libraries, to compare them."""
+"""Minimal forwarders on several HTTP libraries, to compare these."""
 
 import abc
 import asyncio
@@ -26,11 +26,11 @@
     'target', '', 'host:port to forward to; empty echoes.'
 )
 _CHUNK_BYTES: Final = 65536
-_THREADS: Final = 16
+_THREAD_COUNT: Final = 16
 
 
 class PlainForwarder(abc.ABC):
-    """Forwards to one target, or echoes."""
+    """Forwards calls to one target, or echoes them if it has none."""
 
     def __init__(self, listen: str, target: str) -> None:
         host, port = split_host_port(listen)
@@ -40,14 +40,14 @@
 
     @abc.abstractmethod
     def run(self) -> None:
-        """Serve for ever."""
+        """Serve until the process ends."""
 
 
 class HttptoolsForwarder(PlainForwarder):
-    """The transport of the call path."""
+    """Uses the transport of the call path, which parses with httptools."""
 
     def run(self) -> None:
-        """Serve for ever."""
+        """Serve until the process ends."""
         uvloop.run(self._serve())
 
     async def _serve(self) -> None:
@@ -71,18 +71,18 @@
 
 
 class H11Forwarder(PlainForwarder):
-    """asyncio streams with the pure Python parser."""
+    """Uses asyncio streams and h11, a parser in pure Python."""
 
     def run(self) -> None:
-        """Serve for ever."""
+        """Serve until the process ends."""
         uvloop.run(self._serve())
 
     async def _serve(self) -> None:
-        self._idle: list[Any] = []
-        await asyncio.start_server(self._answer, self.host, self.port)
+        self._idle_connections: list[Any] = []
+        await asyncio.start_server(self._serve_connection, self.host, self.port)
         await asyncio.Event().wait()
 
-    async def _answer(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         connection = h11.Connection(h11.SERVER)
@@ -101,8 +101,8 @@
         writer.close()
 
     async def _forward(self, body: bytes) -> bytes:
-        if self._idle:
-            connection, reader, writer = self._idle.pop()
+        if self._idle_connections:
+            connection, reader, writer = self._idle_connections.pop()
         else:
             connection = h11.Connection(h11.CLIENT)
             reader, writer = await asyncio.open_connection(
@@ -116,7 +116,7 @@
         writer.write(_encode(connection, request, body))
         answer = await _receive(connection, reader)
         connection.start_next_cycle()
-        self._idle.append((connection, reader, writer))
+        self._idle_connections.append((connection, reader, writer))
         return answer or b''
 
 
@@ -132,7 +132,10 @@
 async def _receive(
     connection: Any, reader: asyncio.StreamReader
 ) -> bytes | None:
-    """Receive one message; return its body, ``None`` at the end."""
+    """Receive one message.
+
+    :returns: its body, or ``None`` if the connection is closed.
+    """
     parts = []
     while True:
         event = connection.next_event()
@@ -147,18 +150,20 @@
 
 
 class CherootForwarder(PlainForwarder):
-    """A thread for each call, as the house style has it."""
+    """Uses the WSGI server of Cheroot with a pool of threads."""
 
     def run(self) -> None:
-        """Serve for ever."""
-        self._http = urllib3.PoolManager(maxsize=_THREADS, retries=False)
+        """Serve until the process ends."""
+        self._http = urllib3.PoolManager(maxsize=_THREAD_COUNT, retries=False)
         server: Any = wsgi.Server(
-            (self.host, self.port), self._answer, numthreads=_THREADS
+            (self.host, self.port),
+            self._handle_request,
+            numthreads=_THREAD_COUNT,
         )
         threading.Thread(target=server.safe_start, daemon=True).start()
         threading.Event().wait()
 
-    def _answer(
+    def _handle_request(
         self, environ: Mapping[str, Any], start_response: Callable[..., Any]
     ) -> Iterable[bytes]:
         length = int(environ.get('CONTENT_LENGTH') or 0)
@@ -174,7 +179,7 @@
 
 ForwarderTypes: TypeAlias = Mapping[str, type[PlainForwarder]]
 
-#: Forwarders by the name of their library.
+#: Forwarder classes by the name of their library.
 FORWARDERS: Final[ForwarderTypes] = {
     'httptools': HttptoolsForwarder,
     'h11': H11Forwarder,
--- a/merlintrail/bench/_rig.py
+++ b/merlintrail/bench/_rig.py
@@ -1,4 +1,4 @@
-"""A running bench deployment, with nodes or with plain forwarders."""
+"""Test rig of the overload benchmarks."""
 
 import time
 from typing import Any
@@ -6,23 +6,28 @@
 import orjson
 import urllib3
 
+from merlintrail.bench._deployments import BenchDeployment
 from merlintrail.bench._forwarder import ForwarderPlan
-from merlintrail.bench._worlds import World
 from merlintrail.lab.processes import Deployment
 
 
 class Rig:
-    """A running deployment, with nodes or with plain forwarders."""
+    """Runs a bench deployment, with nodes or with baseline forwarders."""
 
-    def __init__(self, world: World, *, is_baseline: bool) -> None:
-        self._world = world
+    def __init__(
+        self, bench_deployment: BenchDeployment, *, is_baseline: bool
+    ) -> None:
+        self._bench_deployment = bench_deployment
         self._is_baseline = is_baseline
         self._http = urllib3.PoolManager(retries=False, timeout=5.0)
         self.deployment = Deployment(log_level='warning')
 
     def start(self) -> None:
-        """Start all processes."""
-        plans = self._world.build_plans()
+        """Start all processes.
+
+        Return once all nodes are ready, or after 2 s with forwarders.
+        """
+        plans = self._bench_deployment.build_plans()
         if self._is_baseline:
             self.deployment.allocate_addresses(plans)
             self._start_forwarders()
@@ -33,20 +38,20 @@
         self.deployment.start_workers(plans)
         self.deployment.wait_until_listening()
         generation = self.deployment.apply_configuration(
-            self._world.build_document()
+            self._bench_deployment.build_document()
         )
         self.deployment.wait_until_ready(generation)
 
-    def list_deepest(self) -> list[str]:
-        """Return the workers of the deepest service."""
+    def list_deepest_instances(self) -> list[str]:
+        """Return the instances of the deepest service."""
         return [
             instance
             for instance in self.deployment.workers
-            if instance.startswith(self._world.deepest)
+            if instance.startswith(self._bench_deployment.deepest)
         ]
 
     def count_retries(self) -> int:
-        """Return the retries of all nodes so far."""
+        """Return the number of retries by all nodes or forwarders."""
         if self._is_baseline:
             return sum(
                 orjson.loads(
@@ -66,8 +71,11 @@
             for instance in self.deployment.workers
         )
 
-    def count_begun(self) -> int:
-        """Return the requests begun by backend servers that live."""
+    def count_begun_requests(self) -> int:
+        """Return the number of requests begun by the running backend servers.
+
+        The count of a backend server is lost when it is killed.
+        """
         begun = 0
         for instance in self.deployment.workers:
             counts = self.deployment.control_backend(instance)['counts']
