--- a/merlintrail/node/_backend_exchange.py
+++ b/merlintrail/node/_backend_exchange.py
@@ -11,9 +11,9 @@
 from merlintrail.node._suspect_quarantine import SuspectQuarantine
 from merlintrail.observability import log_decision
 from merlintrail.protocol import (
-    CallMetadata,
     AnswerClass,
     CallHeader,
+    CallMetadata,
     Dialect,
     Outcome,
     Reason,
@@ -34,7 +34,7 @@
     node_id: str
     pool: ConnectionPool
     dialect: Dialect
-    suspicions: SuspectQuarantine
+    suspect_quarantine: SuspectQuarantine
     clock: Callable[[], float]
     #: Called when the readiness of a backend server changes.
     on_change: Callable[[], None]
@@ -43,11 +43,11 @@
 class BackendExchange:
     """Exchanges calls with the backend servers beside this node."""
 
-    def __init__(self, dependencies: BackendExchangeDependencies) -> None:
-        self._deps = dependencies
-        self._clock = dependencies.clock
+    def __init__(self, deps: BackendExchangeDependencies) -> None:
+        self._deps = deps
+        self._clock = deps.clock
         self._tasks: set[asyncio.Task[Any]] = set()
-        self.prober = BackendProber(dependencies.pool, dependencies.on_change)
+        self.prober = BackendProber(deps.pool, deps.on_change)
 
     async def run(
         self, gate: AdmissionGate, call: OutgoingCall, parent: ParentCall
@@ -79,8 +79,8 @@
     def _is_answer_to_call(
         self, parent: ParentCall, answer: HttpResponse
     ) -> bool:
-        verdict = self._deps.dialect.classify_answer(parent.token, answer)
-        return verdict != AnswerClass.FOREIGN
+        answer_class = self._deps.dialect.classify_answer(parent.token, answer)
+        return answer_class != AnswerClass.FOREIGN
 
     def _list_headers(
         self,
@@ -110,15 +110,16 @@
         now = self._clock()
         duration_s = now - started_at
         gate.backend.load = self._deps.dialect.read_load(answer)
-        verdict = self._deps.dialect.classify_answer(parent.token, answer)
+        answer_class = self._deps.dialect.classify_answer(parent.token, answer)
         is_shed = (
-            verdict == AnswerClass.SHED and not parent.has_failed_nested_call
+            answer_class == AnswerClass.SHED
+            and not parent.has_failed_nested_call
         )
-        if verdict == AnswerClass.FAILED:
+        if answer_class == AnswerClass.FAILED:
             parent.has_failed = True
             return answer
-        if verdict == AnswerClass.ANSWERED or (
-            verdict == AnswerClass.SHED and not is_shed
+        if answer_class == AnswerClass.ANSWERED or (
+            answer_class == AnswerClass.SHED and not is_shed
         ):
             gate.admission.record_service(
                 duration_s, get_call_class(parent.header)
@@ -129,22 +130,22 @@
                 gate.admission.running,
             )
             return answer
-        return self._record_refusal(gate, parent, verdict, now)
+        return self._record_refusal(gate, parent, answer_class, now)
 
     def _record_refusal(
         self,
         gate: AdmissionGate,
         parent: ParentCall,
-        verdict: AnswerClass,
+        answer_class: AnswerClass,
         now: float,
     ) -> Refusal:
-        if verdict == AnswerClass.MISDIRECTED:
+        if answer_class == AnswerClass.MISDIRECTED:
             gate.backend.is_displaced = True
             self._deps.on_change()
             return Refusal(Outcome.NOT_RUN, Reason.BACKEND_DISPLACED)
         gate.limit.record_refusal(now, gate.admission.running)
         is_proven_not_run = (
-            verdict == AnswerClass.NOT_RUN and not parent.digests
+            answer_class == AnswerClass.NOT_RUN and not parent.digests
         )
         outcome = Outcome.NOT_RUN if is_proven_not_run else Outcome.MAY_HAVE_RUN
         return Refusal(outcome, Reason.BACKEND_REFUSED)
@@ -168,7 +169,7 @@
         )
 
     def _record_crash(self, gate: AdmissionGate, digests: list[str]) -> None:
-        suspicions = self._deps.suspicions.record_death(digests)
+        suspicions = self._deps.suspect_quarantine.record_death(digests)
         log_decision(
             'backend-server-death',
             instance=self._deps.node_id,
--- a/merlintrail/node/_backend_gateway.py
+++ b/merlintrail/node/_backend_gateway.py
@@ -47,7 +47,7 @@
     exchange: BackendExchange
     calls: CallTable
     contexts: ContextTable
-    suspicions: SuspectQuarantine
+    suspect_quarantine: SuspectQuarantine
     metrics: NodeMetrics
     clock: Callable[[], float]
     wall_clock: Callable[[], float]
@@ -61,13 +61,13 @@
     Each call runs at most once; its answer is kept for inquiries.
     """
 
-    def __init__(self, dependencies: GatewayDependencies) -> None:
-        self._deps = dependencies
-        self._clock = dependencies.clock
+    def __init__(self, deps: GatewayDependencies) -> None:
+        self._deps = deps
+        self._clock = deps.clock
         self._tasks: set[asyncio.Task[Any]] = set()
-        self.registry = dependencies.registry
+        self.registry = deps.registry
         #: Backend servers with their admission, by service.
-        self.gates = dependencies.registry.gates
+        self.gates = deps.registry.gates
         #: Next planned stop of this instance, if any.
         self.planned_stop: PlannedStop | None = None
         #: Whether this node is draining and refuses new calls.
@@ -83,7 +83,9 @@
 
     def update_configuration(self, configuration: Configuration) -> None:
         """Apply a new configuration."""
-        self._deps.suspicions.expiry_s = configuration.quarantine_expiry_s
+        self._deps.suspect_quarantine.expiry_s = (
+            configuration.quarantine_expiry_s
+        )
         self.registry.update_configuration(configuration)
 
     async def refresh_hints(self) -> None:
@@ -110,7 +112,9 @@
             self._deps.contexts.close(parent)
         report = self._build_report(header, parent, answer)
         if report.reason == Reason.BACKEND_LOST:
-            report = report._replace(suspicion=self._deps.suspicions.find(call))
+            report = report._replace(
+                suspicion=self._deps.suspect_quarantine.find(call)
+            )
         gateway_result = GatewayResult(answer, report)
         encoded = build_peer_answer(gateway_result, header.request_id)
         self._deps.calls.finish(header.call_id, encoded)
@@ -125,8 +129,8 @@
         refusal = self._check(header, gate)
         if refusal is not None or gate is None:
             return refusal or Refusal(Outcome.NOT_RUN, Reason.NO_BACKEND_SERVER)
-        self._deps.suspicions.take(header.suspicion)
-        suspicion = self._deps.suspicions.find(call)
+        self._deps.suspect_quarantine.merge_record(header.suspicion)
+        suspicion = self._deps.suspect_quarantine.find(call)
         if suspicion is None:
             return await self._admit(gate, call, parent)
         if suspicion.is_convicted:
@@ -138,14 +142,14 @@
         async with gate.suspect_lock:
             answer = await self._admit(gate, call, parent)
         if isinstance(answer, HttpResponse):
-            self._deps.suspicions.clear_suspect(suspicion)
+            self._deps.suspect_quarantine.clear_suspect(suspicion)
         return answer
 
     async def _admit(
         self, gate: AdmissionGate, call: OutgoingCall, parent: ParentCall
     ) -> HttpResponse | Refusal:
         header = parent.header
-        refusal = await gate.admission.admit(_build_claim(parent))
+        refusal = await gate.admission.admit(_build_admission_request(parent))
         if refusal is not None:
             return refusal
         exchange = self._deps.exchange
@@ -277,7 +281,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def _build_claim(parent: ParentCall) -> AdmissionRequest:
+def _build_admission_request(parent: ParentCall) -> AdmissionRequest:
     header = parent.header
     objective_s: float | None = None
     if header.objective_ms is not None:
--- a/merlintrail/node/_call_path.py
+++ b/merlintrail/node/_call_path.py
@@ -71,25 +71,25 @@
     contexts: ContextTable
     #: Calls received lately, so that other nodes can query their outcome.
     calls: CallTable
-    suspicions: SuspectQuarantine
+    suspect_quarantine: SuspectQuarantine
 
 
-def create_call_path(dependencies: CallPathDependencies) -> CallPath:
+def create_call_path(deps: CallPathDependencies) -> CallPath:
     """Create the components, from the backend server outwards."""
-    environment = dependencies.environment
-    settings = dependencies.settings
-    suspicions = SuspectQuarantine(
-        dependencies.quarantine,
+    environment = deps.environment
+    settings = deps.settings
+    suspect_quarantine = SuspectQuarantine(
+        deps.quarantine,
         environment.wall_clock,
-        dependencies.membership.gossip_suspicions,
-        f'{settings.instance}/{dependencies.incarnation}',
+        deps.membership.gossip_suspicions,
+        f'{settings.instance}/{deps.incarnation}',
     )
     contexts = ContextTable(environment.dialect, environment.rng)
     calls = CallTable(environment.clock)
-    gateway = _create_gateway(dependencies, suspicions, contexts, calls)
+    gateway = _create_gateway(deps, suspect_quarantine, contexts, calls)
     exchange = PeerExchange(
-        dependencies.pool,
-        dependencies.peers,
+        deps.pool,
+        deps.peers,
         settings.fleet_key,
         environment.clock,
     )
@@ -101,29 +101,29 @@
     dispatcher = Dispatcher(
         DispatcherDependencies(
             settings.instance,
-            dependencies.holder,
+            deps.holder,
             routing,
             exchange,
             gateway,
-            dependencies.metrics,
-            suspicions,
+            deps.metrics,
+            suspect_quarantine,
             environment.clock,
             environment.rng,
         )
     )
-    keyed = _create_keyed(dependencies, dispatcher, exchange)
+    keyed = _create_keyed(deps, dispatcher, exchange)
     ingress = Ingress(
         IngressDependencies(
             settings.instance,
             settings.data_centre,
-            dependencies.holder,
+            deps.holder,
             contexts,
             dispatcher,
             keyed,
-            suspicions,
-            dependencies.metrics,
+            suspect_quarantine,
+            deps.metrics,
             environment.dialect,
-            dependencies.find_own_service,
+            deps.find_own_service,
             environment.clock,
             environment.wall_clock,
             environment.rng,
@@ -137,73 +137,73 @@
         gateway,
         contexts,
         calls,
-        suspicions,
+        suspect_quarantine,
     )
 
 
 def _create_gateway(
-    dependencies: CallPathDependencies,
-    suspicions: SuspectQuarantine,
+    deps: CallPathDependencies,
+    suspect_quarantine: SuspectQuarantine,
     contexts: ContextTable,
     calls: CallTable,
 ) -> BackendGateway:
-    environment = dependencies.environment
-    instance = dependencies.settings.instance
+    environment = deps.environment
+    instance = deps.settings.instance
     exchange = BackendExchange(
         BackendExchangeDependencies(
             instance,
-            dependencies.pool,
+            deps.pool,
             environment.dialect,
-            suspicions,
+            suspect_quarantine,
             environment.clock,
-            dependencies.on_change,
+            deps.on_change,
         )
     )
     return BackendGateway(
         GatewayDependencies(
             instance,
-            dependencies.incarnation,
+            deps.incarnation,
             exchange,
             calls,
             contexts,
-            suspicions,
-            dependencies.metrics,
+            suspect_quarantine,
+            deps.metrics,
             environment.clock,
             environment.wall_clock,
             BackendRegistry(
                 environment.clock,
                 environment.wall_clock,
-                dependencies.on_change,
+                deps.on_change,
             ),
         )
     )
 
 
 def _create_keyed(
-    dependencies: CallPathDependencies,
+    deps: CallPathDependencies,
     dispatcher: Dispatcher,
     exchange: PeerExchange,
 ) -> KeyedCalls:
-    environment = dependencies.environment
-    instance = dependencies.settings.instance
+    environment = deps.environment
+    instance = deps.settings.instance
     keyed = KeyedCalls(
         KeyedCallsDependencies(
             instance,
-            dependencies.holder,
-            dependencies.table,
+            deps.holder,
+            deps.table,
             dispatcher,
             exchange,
-            dependencies.peers,
+            deps.peers,
             environment.clock,
             environment.wall_clock,
             environment.rng,
         )
     )
-    slot_dependencies = SlotDependencies(
+    slot_deps = SlotDependencies(
         environment.store,
         instance,
         environment.wall_clock,
         lambda: create_id(environment.rng),
     )
-    keyed.attach(create_ledger(slot_dependencies, keyed.recall))
+    keyed.attach(create_ledger(slot_deps, keyed.query_previous_owner))
     return keyed
--- a/merlintrail/node/_calls.py
+++ b/merlintrail/node/_calls.py
@@ -76,7 +76,7 @@
     encoded: HttpResponse | None = None
 
 
-def list_forwarded(request: HttpRequest) -> HeaderList:
+def list_forwarded_headers(request: HttpRequest) -> HeaderList:
     """Return the headers of a request that are forwarded to the next hop."""
     return [
         (name, text)
--- a/merlintrail/node/_contexts.py
+++ b/merlintrail/node/_contexts.py
@@ -23,7 +23,8 @@
         self.deadline = deadline
         #: Retries left to the nested calls.
         self.account = RetryAccount(header.retries)
-        #: Shedding levels met by the nested calls, by service and data centre.
+        #: Shedding levels that the nested calls reported, by service and data
+        #: centre.
         self.downstream_levels: dict[str, int] = {}
         #: Whether a nested call was refused or failed without an answer.
         self.has_failed_nested_call = False
@@ -68,7 +69,7 @@
 
 
 def get_call_class(header: CallHeader) -> str:
-    """Return the class of a call; calls of a class take about as long."""
+    """Return the class by which service times of calls are averaged."""
     return f'{header.kind} {header.depth}'
 
 
--- a/merlintrail/node/_dispatch.py
+++ b/merlintrail/node/_dispatch.py
@@ -65,7 +65,7 @@
 
 
 def _get_size_class(call: OutgoingCall) -> str:
-    """Return the class of calls with messages of about the same size."""
+    """Return the class by which message sizes are averaged."""
     return call.kind if call.depth == 1 else call.service
 
 
@@ -103,7 +103,7 @@
     exchange: PeerExchange
     gateway: LocalGateway
     metrics: NodeMetrics
-    suspicions: SuspectQuarantine
+    suspect_quarantine: SuspectQuarantine
     clock: Callable[[], float]
     rng: random.Random
 
@@ -111,12 +111,12 @@
 class Dispatcher:
     """Sends calls to backend servers of their service and retries them."""
 
-    def __init__(self, dependencies: DispatcherDependencies) -> None:
-        self._deps = dependencies
-        self._routing = dependencies.routing
-        self._clock = dependencies.clock
-        self._retries = RetryPolicy(dependencies.suspicions, dependencies.clock)
-        self._shedding = LevelReportFilter()
+    def __init__(self, deps: DispatcherDependencies) -> None:
+        self._deps = deps
+        self._routing = deps.routing
+        self._clock = deps.clock
+        self._retries = RetryPolicy(deps.suspect_quarantine, deps.clock)
+        self._level_filter = LevelReportFilter()
         self._sizes = MessageSizes()
 
     def configure_retries(
@@ -143,11 +143,15 @@
                 break
             progress.tried.append(choice.target.member.node_id)
             gateway_result = await self._attempt(call, choice)
-            levels = self._list_levels(choice.target, gateway_result.report)
-            progress.levels = merge_levels(progress.levels, levels)
+            downstream_levels = self._list_downstream_levels(
+                choice.target, gateway_result.report
+            )
+            progress.downstream_levels = merge_levels(
+                progress.downstream_levels, downstream_levels
+            )
             if call.depth == 1:
                 self._record_outcome(
-                    call, choice.target, gateway_result, levels
+                    call, choice.target, gateway_result, downstream_levels
                 )
             progress.record_attempt(gateway_result)
             if progress.answer is not None:
@@ -160,7 +164,7 @@
                 break
             self._deps.metrics.record_retry(call.service)
         return CallResult(
-            progress.choose_answer(), progress.levels, progress.calls
+            progress.choose_answer(), progress.downstream_levels, progress.calls
         )
 
     def _record_outcome(
@@ -168,13 +172,13 @@
         call: OutgoingCall,
         target: Target,
         gateway_result: GatewayResult,
-        levels: dict[str, int],
+        downstream_levels: dict[str, int],
     ) -> None:
-        """Record levels and outcome of a request for its data centre."""
+        """Record levels and outcome of a request by target data centre."""
         now = self._clock()
         data_centre = target.member.data_centre
         self._routing.downstream_levels.record(
-            call.kind, data_centre, levels, now
+            call.kind, data_centre, downstream_levels, now
         )
         answer = gateway_result.answer
         has_failed = gateway_result.report.is_failure
@@ -186,20 +190,22 @@
             call.kind, data_centre, has_failed=has_failed, now=now
         )
 
-    def _list_levels(
+    def _list_downstream_levels(
         self, target: Target, report: CallReport
     ) -> dict[str, int]:
-        """Return the shedding levels met by an attempt.
+        """Return the shedding levels that an attempt reported.
 
         The level of the target itself is included while it sheds and for a
         short time after.
         """
         data_centre = target.member.data_centre
-        place = build_level_key(target.offer.service, data_centre)
-        levels = dict(report.downstream_levels)
-        if self._shedding.should_report(place, report.level, self._clock()):
-            levels[place] = report.level
-        return levels
+        level_key = build_level_key(target.offer.service, data_centre)
+        downstream_levels = dict(report.downstream_levels)
+        if self._level_filter.should_report(
+            level_key, report.level, self._clock()
+        ):
+            downstream_levels[level_key] = report.level
+        return downstream_levels
 
     def _find_target(
         self, call: OutgoingCall, tried: list[str]
@@ -217,7 +223,7 @@
         configuration = self._deps.holder.current
         service = configuration and configuration.services.get(call.service)
         warmup_s = service.warmup_s if service else 0.0
-        demand = RoutingRequest(
+        routing_request = RoutingRequest(
             call.service,
             call.priority,
             warmup_s,
@@ -225,7 +231,7 @@
             kind=call.kind,
             size=self._sizes.read(_get_size_class(call)),
         )
-        choice = self._routing.choose(demand, tried)
+        choice = self._routing.choose(routing_request, tried)
         if isinstance(choice, Choice):
             log_decision(
                 'route',
@@ -261,8 +267,8 @@
         self, call: OutgoingCall, choice: Choice
     ) -> GatewayResult:
         target = choice.target
-        lent_retries = call.account.reserve_share()
-        header = self._build_header(call, target, lent_retries)
+        reserved_retries = call.account.reserve_share()
+        header = self._build_header(call, target, reserved_retries)
         started_at = self._clock()
         target.in_flight += 1
         try:
@@ -276,10 +282,10 @@
             self._sizes.record(
                 _get_size_class(call), size + ESTIMATED_HEADER_BYTES
             )
-        call.account.refund(lent_retries, report.retries)
+        call.account.refund(reserved_retries, report.retries)
         if report.call_id:
             target.record_report(report, now - started_at, now)
-        self._deps.suspicions.take(report.suspicion)
+        self._deps.suspect_quarantine.merge_record(report.suspicion)
         self._record_failure(target, gateway_result.answer)
         has_failed = has_failed_in_backend(gateway_result)
         if has_failed is not None:
@@ -305,6 +311,7 @@
         target: Target,
         answer: HttpResponse | Refusal,
     ) -> None:
+        """Charge the bodies of a call to the link between the regions."""
         sent = len(call.body)
         if isinstance(answer, HttpResponse):
             sent += len(answer.body)
@@ -314,10 +321,10 @@
     def _record_failure(
         self, target: Target, answer: HttpResponse | Refusal
     ) -> None:
-        """Pass over a target that accepts no calls; eject a failing one.
+        """Suspend a target that accepts no calls; eject a failing one.
 
-        The loss of a single answer causes neither, because the backend
-        server may be well: it counts in the target's share of failed calls.
+        A single lost answer causes neither, because the backend server may
+        still work. It only counts towards the target's share of failed calls.
         """
         if isinstance(answer, HttpResponse):
             return
@@ -342,7 +349,7 @@
             )
 
     def _build_header(
-        self, call: OutgoingCall, target: Target, lent_retries: int
+        self, call: OutgoingCall, target: Target, reserved_retries: int
     ) -> CallHeader:
         return CallHeader(
             call.request_id,
@@ -351,12 +358,12 @@
             call.priority,
             call.is_idempotent,
             round((call.deadline - self._clock()) * _MS_PER_S, 1),
-            lent_retries,
+            reserved_retries,
             call.depth,
             target.member.incarnation,
             self._deps.node_id,
             call.service,
-            suspicion=self._deps.suspicions.find(call),
+            suspicion=self._deps.suspect_quarantine.find(call),
             caller_service=call.caller_service,
             objective_ms=call.objective_ms,
         )
--- a/merlintrail/node/_exchange.py
+++ b/merlintrail/node/_exchange.py
@@ -24,13 +24,13 @@
 from merlintrail.transport import (
     ClientConnection,
     ConnectionPool,
+    ExchangeTimeouts,
     FailureStage,
     HttpResponse,
-    ExchangeTimeouts,
     TransportFailure,
 )
 
-#: Seconds after sending a call before the first inquiry, at least. Also the
+#: Minimum delay in seconds from sending a call to the first inquiry, and the
 #: first interval between inquiries.
 MIN_INQUIRY_DELAY_S: Final = 0.15
 #: Multiple of the typical latency after which an inquiry is sent.
--- a/merlintrail/node/_gate.py
+++ b/merlintrail/node/_gate.py
@@ -1,4 +1,4 @@
-"""AdmissionController control of one backend server."""
+"""Admission control of one backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,7 +13,7 @@
     create_limit,
 )
 
-#: Queue limit in seconds of waiting until a configuration sets one.
+#: Longest wait in the queue in seconds, until a configuration sets one.
 _DEFAULT_QUEUE_LIMIT_S: Final = 0.1
 
 
--- a/merlintrail/node/_ingress.py
+++ b/merlintrail/node/_ingress.py
@@ -50,7 +50,7 @@
     contexts: ContextTable
     dispatcher: Dispatcher
     keyed: KeyedCalls
-    suspicions: SuspectQuarantine
+    suspect_quarantine: SuspectQuarantine
     metrics: NodeMetrics
     dialect: Dialect
     #: Returns the service of the local backend server, or an empty string.
@@ -75,10 +75,10 @@
     that call; every other request comes from a caller.
     """
 
-    def __init__(self, dependencies: IngressDependencies) -> None:
-        self._deps = dependencies
-        self._clock = dependencies.clock
-        self._resolver = Resolver(dependencies.rng)
+    def __init__(self, deps: IngressDependencies) -> None:
+        self._deps = deps
+        self._clock = deps.clock
+        self._resolver = Resolver(deps.rng)
         self._refused_requests = RefusedRequests()
         #: Number of requests in progress.
         self.running = 0
@@ -148,6 +148,11 @@
         return await self._serve_caller(self._build_call(received, resolution))
 
     async def _serve_caller(self, call: OutgoingCall) -> HttpResponse | Refusal:
+        """Serve a request of a caller.
+
+        A request that was refused recently gets a higher priority when the
+        caller retries it.
+        """
         refusal = self._check_caller(call)
         if refusal is not None:
             self._log_refusal(call.request_id, call.kind, refusal)
@@ -191,7 +196,7 @@
         remaining_s = call.deadline - self._clock()
         if overlaps_planned_stop(stop, wall_time, remaining_s):
             return Refusal(Outcome.NOT_RUN, Reason.PLANNED_STOP)
-        if self._deps.suspicions.is_quarantined(call):
+        if self._deps.suspect_quarantine.is_quarantined(call):
             return Refusal(Outcome.NOT_RUN, Reason.QUARANTINED)
         return None
 
@@ -203,14 +208,14 @@
             parent.has_failed_nested_call = True
             self._log_refusal(call.request_id, call.kind, refusal)
             return refusal
-        lent_retries = parent.account.reserve_share()
-        nested_call = call._replace(account=RetryAccount(lent_retries))
+        reserved_retries = parent.account.reserve_share()
+        nested_call = call._replace(account=RetryAccount(reserved_retries))
         parent.begin_nested_call(self._clock())
         try:
             call_result = await self._send(nested_call)
         finally:
             parent.end_nested_call(self._clock())
-        parent.account.refund(lent_retries, nested_call.account.balance)
+        parent.account.refund(reserved_retries, nested_call.account.balance)
         parent.nested_calls += call_result.calls
         parent.downstream_levels = merge_levels(
             parent.downstream_levels, call_result.downstream_levels
--- a/merlintrail/node/_joiner.py
+++ b/merlintrail/node/_joiner.py
@@ -14,11 +14,11 @@
 )
 from merlintrail.node._settings import Settings
 
-#: Pause in seconds after the first failed attempt; it doubles with each
+#: Delay in seconds after the first failed attempt; it doubles with each
 #: further one and is randomised by up to half.
-MIN_JOIN_PAUSE_S: Final = 0.2
-#: Upper bound of the pause in seconds, before it is randomised.
-MAX_JOIN_PAUSE_S: Final = 3.0
+MIN_JOIN_DELAY_S: Final = 0.2
+#: Upper bound of the delay in seconds, before it is randomised.
+MAX_JOIN_DELAY_S: Final = 3.0
 #: Relays of other data centres that are contacted in each attempt.
 MAX_REMOTE_RELAYS: Final = 2
 
@@ -56,10 +56,10 @@
         )
 
     async def _repeat(self, attempt: Callable[[], Awaitable[bool]]) -> None:
-        pause_s = MIN_JOIN_PAUSE_S
+        delay_s = MIN_JOIN_DELAY_S
         while not await attempt():
-            await asyncio.sleep(pause_s * self._rng.uniform(0.5, 1.5))
-            pause_s = min(MAX_JOIN_PAUSE_S, pause_s * 2)
+            await asyncio.sleep(delay_s * self._rng.uniform(0.5, 1.5))
+            delay_s = min(MAX_JOIN_DELAY_S, delay_s * 2)
 
     async def _try_fetch(self) -> bool:
         holder = self._deps.membership.holder
--- a/merlintrail/node/_keyed.py
+++ b/merlintrail/node/_keyed.py
@@ -1,4 +1,4 @@
-"""Keyed requests: non-idempotent requests run by the owner of their slot."""
+"""Non-idempotent calls with an idempotency key, run at most once."""
 
 import asyncio
 import base64
@@ -48,7 +48,7 @@
 MAX_OWNER_ATTEMPTS: Final = 3
 #: Seconds before the second attempt; each later delay grows by as much.
 OWNER_RETRY_DELAY_S: Final = 0.05
-#: Seconds to wait for the answer of a previous owner.
+#: Timeout in seconds of a query to the previous owner of a slot.
 RECALL_TIMEOUT_S: Final = 0.5
 #: Typical latency in seconds of a call to the owner of a slot.
 TYPICAL_LATENCY_S: Final = 0.25
@@ -80,8 +80,8 @@
     belongs to a slot of the ledger, and the owner of the slot runs the call.
     """
 
-    def __init__(self, dependencies: KeyedCallsDependencies) -> None:
-        self._deps = dependencies
+    def __init__(self, deps: KeyedCallsDependencies) -> None:
+        self._deps = deps
         self._ledger: Ledger | None = None
         self._owners: dict[int, Member | None] = {}
         self._owners_version = (0, 0)
@@ -93,7 +93,7 @@
         return self._ledger
 
     def attach(self, ledger: Ledger) -> None:
-        """Set the ledger, which needs :meth:`recall` at its creation."""
+        """Set the ledger, whose creation needs :meth:`query_previous_owner`."""
         self._ledger = ledger
 
     async def execute(self, call: OutgoingCall) -> CallResult:
@@ -158,10 +158,13 @@
         )
         return GatewayResult(answer, report)
 
-    async def recall(self, record: KeyRecord) -> HttpResponse | Refusal | None:
-        """Ask the owner that recorded a key for its answer.
+    async def query_previous_owner(
+        self, record: KeyRecord
+    ) -> HttpResponse | Refusal | None:
+        """Ask the node that recorded a key for the answer.
 
-        :returns: ``None`` if that node has departed or does not know it.
+        :returns: ``None`` if that node has departed or does not reply, or
+            does not know the answer.
         """
         member = self._deps.table.find(record.owner)
         if member is None or member.has_departed:
@@ -177,7 +180,10 @@
         return _decode_recalled_answer(answer)
 
     def handle_recall(self, document: dict[str, Any]) -> object:
-        """Return the answer to a key for another owner, ``None`` if unknown."""
+        """Return the answer recorded for a key to the slot's new owner.
+
+        :returns: ``None`` if this node does not know the answer.
+        """
         answer = self.ledger.find_answer(str(document.get('key')))
         if answer is None:
             return None
@@ -230,7 +236,7 @@
     async def _send_to_owner(
         self, call: OutgoingCall, owner: Member
     ) -> CallResult:
-        lent_retries = call.account.reserve_all()
+        reserved_retries = call.account.reserve_all()
         remaining_s = call.deadline - self._deps.clock()
         header = CallHeader(
             call.request_id,
@@ -239,7 +245,7 @@
             call.priority,
             call.is_idempotent,
             remaining_s * _MS_PER_S,
-            lent_retries,
+            reserved_retries,
             call.depth,
             owner.incarnation,
             self._deps.node_id,
@@ -250,7 +256,7 @@
             owner, header, call, TYPICAL_LATENCY_S
         )
         gateway_result = read_peer_answer(header, answer)
-        call.account.refund(lent_retries, gateway_result.report.retries)
+        call.account.refund(reserved_retries, gateway_result.report.retries)
         return CallResult(
             gateway_result.answer, gateway_result.report.downstream_levels
         )
--- a/merlintrail/node/_lifecycle.py
+++ b/merlintrail/node/_lifecycle.py
@@ -66,11 +66,11 @@
     async def run(self) -> None:
         """Check for planned stops until cancelled."""
         while True:
-            self._check_stop()
+            self._check_planned_stop()
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def start_drain(self, reason: str) -> None:
-        """Refuse calls to the own backend server; stop once the node is idle."""
+        """Refuse calls to the local backend server and stop once idle."""
         if self._drain is None:
             log_decision('drain', instance=self._deps.instance, reason=reason)
             self._drain = asyncio.create_task(self._drain_and_stop())
@@ -80,7 +80,7 @@
 
         The node still serves while callers and the other nodes switch away
         from it. Then it refuses their calls, serves the nested calls of its
-        own backend server, and stops once it is idle.
+        local backend server, and stops once it is idle.
         """
         if self._drain is None:
             log_decision(
@@ -92,7 +92,7 @@
             self.is_shutting_down = True
             self._drain = asyncio.create_task(self._shut_down_within(grace_s))
 
-    def _check_stop(self) -> None:
+    def _check_planned_stop(self) -> None:
         configuration = self._deps.holder.current
         if configuration is None:
             return
@@ -158,8 +158,8 @@
         self.stopped.set()
 
     async def _wait_until_idle(self) -> None:
-        quiet_checks = 0
-        while quiet_checks < 2:
+        idle_checks = 0
+        while idle_checks < 2:
             running = self._deps.gateway.running + self._deps.ingress.running
-            quiet_checks = 0 if running else quiet_checks + 1
+            idle_checks = 0 if running else idle_checks + 1
             await asyncio.sleep(CHECK_INTERVAL_S)
--- a/merlintrail/node/_node.py
+++ b/merlintrail/node/_node.py
@@ -9,8 +9,8 @@
 from merlintrail.coordination import (
     Heartbeats,
     HttpPeerClient,
-    MembershipState,
     Membership,
+    MembershipState,
     Relay,
 )
 from merlintrail.node._backend import HINT_INTERVAL_S
@@ -273,7 +273,7 @@
         )
         self.routing = path.routing
         self.calls = path.calls
-        self.suspicions = path.suspicions
+        self.suspect_quarantine = path.suspect_quarantine
         self.contexts = path.contexts
         self.gateway = path.gateway
         self.dispatcher = path.dispatcher
--- a/merlintrail/node/_peer_service.py
+++ b/merlintrail/node/_peer_service.py
@@ -11,7 +11,7 @@
     GatewayResult,
     OutgoingCall,
     build_peer_answer,
-    list_forwarded,
+    list_forwarded_headers,
 )
 from merlintrail.node._keyed import KeyedCalls
 from merlintrail.observability import log_decision
@@ -142,7 +142,7 @@
             header.service,
             request.method,
             request.target,
-            list_forwarded(request),
+            list_forwarded_headers(request),
             request.body,
             header.priority,
             header.is_idempotent,
--- a/merlintrail/node/_progress.py
+++ b/merlintrail/node/_progress.py
@@ -13,8 +13,9 @@
     def __init__(self) -> None:
         #: Identifiers of nodes that are not chosen again.
         self.tried: list[str] = []
-        #: Shedding levels met by the attempts, by service and data centre.
-        self.levels: dict[str, int] = {}
+        #: Shedding levels that the attempts reported, by service and data
+        #: centre.
+        self.downstream_levels: dict[str, int] = {}
         self.attempts = Attempts()
         #: Number of calls made, nested calls included.
         self.calls = 0
--- a/merlintrail/node/_retry_policy.py
+++ b/merlintrail/node/_retry_policy.py
@@ -98,9 +98,9 @@
     """
 
     def __init__(
-        self, suspicions: SuspectQuarantine, clock: Callable[[], float]
+        self, suspect_quarantine: SuspectQuarantine, clock: Callable[[], float]
     ) -> None:
-        self._suspicions = suspicions
+        self._suspect_quarantine = suspect_quarantine
         self._clock = clock
         self.budgets = RetryBudgets()
 
@@ -118,7 +118,7 @@
         is_hopeless = (
             not gateway_result.report.may_retry
             or call.deadline <= self._clock()
-            or self._suspicions.is_quarantined(call)
+            or self._suspect_quarantine.is_quarantined(call)
         )
         if is_hopeless:
             return RetryDecision.HOPELESS
--- a/merlintrail/node/_suspect_quarantine.py
+++ b/merlintrail/node/_suspect_quarantine.py
@@ -33,7 +33,7 @@
         #: Seconds until a suspicion expires.
         self.expiry_s = DEFAULT_EXPIRY_S
 
-    def take(self, record: Sequence[Any] | None) -> None:
+    def merge_record(self, record: Sequence[Any] | None) -> None:
         """Merge a suspicion that was received with a call or a response."""
         received = None if record is None else read_suspicion(record)
         if received is not None:
--- a/merlintrail/node/tests/fake_network.py
+++ b/merlintrail/node/tests/fake_network.py
@@ -8,11 +8,11 @@
 from merlintrail.transport import (
     ClientConnection,
     ConnectionPool,
+    ExchangeTimeouts,
     FailureStage,
     HeaderList,
     HttpRequest,
     HttpResponse,
-    ExchangeTimeouts,
     RequestHandler,
     TransportFailure,
 )
@@ -90,7 +90,7 @@
         """Pass a request to the handler at an address."""
         request = HttpRequest(method, target, dict(headers), body, '127.0.0.1')
         if timeouts is not None:
-            return await self._exchange_with_patience(
+            return await self._exchange_with_timeouts(
                 address, request, is_fresh, timeouts
             )
         try:
@@ -110,7 +110,7 @@
         self._network.dropping_answers.discard(address)
         return 1
 
-    async def _exchange_with_patience(
+    async def _exchange_with_timeouts(
         self,
         address: str,
         request: HttpRequest,
--- a/merlintrail/node/tests/test_golden_sessions.py
+++ b/merlintrail/node/tests/test_golden_sessions.py
@@ -81,7 +81,7 @@
 
 
 async def _run_chain(session: Session) -> None:
-    """Send a request through two services, and one with each fault."""
+    """Send a valid request through two services, then invalid ones."""
     await session.call('ingress', '/fitadvisor/advice', 'size 38')
     await session.call('ingress', '/nowhere/advice')
     await session.call('ingress', '/UPPER')
--- a/merlintrail/node/tests/test_inquiries.py
+++ b/merlintrail/node/tests/test_inquiries.py
@@ -18,7 +18,7 @@
 class InquiryTest(unittest.TestCase):
     """An inquiry and its tombstone prove that a call did not run."""
 
-    def test_swallowed_call_is_sent_again(self) -> None:
+    def test_dropped_call_is_sent_again(self) -> None:
         """A call lost on a pooled connection is sent again and runs once.
 
         The peer works, so the call may go to the only backend server again.
@@ -40,10 +40,10 @@
         """A call that ran although its answer was lost is not run again."""
 
         async def scenario() -> None:
-            for fault in ('losing', 'deaf'):
+            for fault in ('connection lost', 'no response'):
                 session = create_read_write_session('one', 'two')
                 for address in ('one:2', 'two:2'):
-                    if fault == 'losing':
+                    if fault == 'connection lost':
                         session.network.answers_to_lose[address] = 1
                     else:
                         session.network.dropping_answers.add(address)
@@ -53,7 +53,7 @@
 
         run_virtually(scenario())
 
-    def test_silent_node_gives_may_have_run(self) -> None:
+    def test_unresponsive_node_gives_may_have_run(self) -> None:
         """A non-idempotent call without any reply is not sent elsewhere."""
 
         async def scenario() -> None:
@@ -64,7 +64,7 @@
 
         run_virtually(scenario())
 
-    def test_silent_node_fails_no_idempotent_call(self) -> None:
+    def test_unresponsive_node_fails_no_idempotent_call(self) -> None:
         """The call is sent to another node within its deadline."""
 
         async def scenario() -> None:
--- a/merlintrail/node/tests/test_keyed.py
+++ b/merlintrail/node/tests/test_keyed.py
@@ -182,7 +182,7 @@
         run_virtually(scenario())
 
     def test_paused_owner_starts_nothing(self) -> None:
-        """A paused owner that resumes collides and asks its successor."""
+        """After it resumes, its append conflicts and it asks the new owner."""
 
         async def scenario() -> None:
             session = _create_session()
--- a/merlintrail/node/tests/test_recovery.py
+++ b/merlintrail/node/tests/test_recovery.py
@@ -25,9 +25,9 @@
     session = Session(_DOCUMENT, ())
     envelope = Envelope(7, 'change-7', 'op', 0.0, _DOCUMENT)
     session.store.swap(CONFIGURATION_KEY, envelope._asdict(), 0)
-    for place, name in enumerate(_NAMES[:2]):
+    for slot, name in enumerate(_NAMES[:2]):
         session.store.swap(
-            build_relay_key('dc', place),
+            build_relay_key('dc', slot),
             {'address': f'{name}:2', 'incarnation': 1},
             0,
         )
@@ -59,7 +59,7 @@
 
         run_virtually(scenario())
 
-    def test_places_of_dead_relays_are_taken_over(self) -> None:
+    def test_slots_of_dead_relays_are_taken_over(self) -> None:
         """Restarted nodes take them over before the old leases expire."""
 
         async def scenario() -> None:
@@ -75,13 +75,13 @@
                     for started in session.nodes.values()
                 )
             )
-            for place in range(2):
-                entry = session.store.documents[build_relay_key('dc', place)]
+            for slot in range(2):
+                entry = session.store.documents[build_relay_key('dc', slot)]
                 assert isinstance(entry, StoreValue)
                 if entry.document['incarnation'] != 1:
                     break
             else:
-                self.fail('both places still belong to dead processes')
+                self.fail('both relay slots still belong to dead processes')
             for task in tasks:
                 task.cancel()
 
--- a/merlintrail/node/tests/test_stops_and_crashes.py
+++ b/merlintrail/node/tests/test_stops_and_crashes.py
@@ -54,7 +54,7 @@
             }
             session.apply(document, 2)
             node = session.nodes['one']
-            node.lifecycle._check_stop()  # noqa: SLF001
+            node.lifecycle._check_planned_stop()  # noqa: SLF001
             answer = await session.call('ingress', '/svc/read', 'a')
             self.assertIn(
                 get_header(answer, REASON_HEADER),
@@ -113,7 +113,7 @@
         run_virtually(scenario())
 
     async def share_suspicions(self, session: Session) -> None:
-        """Merge the suspicions of every node into the others, as gossip does."""
+        """Merge every node's suspicions into the others, as gossip does."""
         for node in session.nodes.values():
             for other in session.nodes.values():
                 for suspicion in node.quarantine.list_suspicions(0.0):
--- a/merlintrail/platform/_store_wire.py
+++ b/merlintrail/platform/_store_wire.py
@@ -43,7 +43,7 @@
         self.settings = settings
 
     def build_read(self, key: str) -> StoreCall[StoreValue]:
-        """Build the read of one key."""
+        """Build the call that reads one key."""
         query = urlencode({'Key': _encode_key(key)})
         return StoreCall(
             'GET',
@@ -55,7 +55,7 @@
     def build_range(
         self, prefix: str, after: str | None, *, may_be_stale: bool
     ) -> StoreCall[StorePage]:
-        """Build the read of one page of the keys under a prefix."""
+        """Build the call that reads one page of the keys under a prefix."""
         query: dict[str, str | int] = {'Prefix': _encode_key(prefix)}
         if after is not None:
             query['after'] = _encode_key(after)
@@ -66,7 +66,7 @@
         )
 
     def build_transaction(self, transaction: Transaction) -> StoreCall[int]:
-        """Build a conditional change of several keys."""
+        """Build the call that makes a transaction."""
         # The platform's leases are numbers; 0 stands for no lease.
         lease = int(transaction.lease or 0)
         puts = [
@@ -98,7 +98,7 @@
     def build_watch(
         self, prefix: str, position: int, timeout_s: float
     ) -> StoreCall[StoreItems]:
-        """Build the wait for changes under a prefix.
+        """Build the call that waits for changes under a prefix.
 
         :param position: store revision after which changes are returned.
         """
@@ -118,7 +118,7 @@
         )
 
     def build_grant(self, duration_s: float) -> StoreCall[str]:
-        """Build the request for a lease."""
+        """Build the call that obtains a lease."""
         return StoreCall(
             'POST',
             '/kv-lease',
@@ -127,7 +127,7 @@
         )
 
     def build_renewal(self, lease: str) -> StoreCall[None]:
-        """Build the renewal of a lease."""
+        """Build the call that renews a lease."""
         return StoreCall(
             'POST',
             f'/kv-keep/{lease}',
@@ -136,7 +136,7 @@
         )
 
     def build_revocation(self, lease: str) -> StoreCall[None]:
-        """Build the revocation of a lease."""
+        """Build the call that ends a lease."""
         return StoreCall('DELETE', f'/kv-lease-end/{lease}', ignore_answer)
 
     def _read_value(self, answer: Any) -> StoreValue:
--- a/merlintrail/platform/tests/test_adapter.py
+++ b/merlintrail/platform/tests/test_adapter.py
@@ -20,8 +20,8 @@
 )
 from merlintrail.platform.tests.samples import CONFIGURATION, SETTINGS
 from merlintrail.protocol import (
-    CallMetadata,
     AnswerClass,
+    CallMetadata,
     Outcome,
     Reason,
     Refusal,
