--- a/merlintrail/state/_admission.py
+++ b/merlintrail/state/_admission.py
@@ -1,4 +1,4 @@
-"""AdmissionController control of a backend server: slots, queues and deadlines."""
+"""Admission control of a backend server: slots, queues and deadlines."""
 
 import asyncio
 from collections import deque
@@ -83,13 +83,13 @@
     """Admits calls to one backend server.
 
     Calls that find no free slot wait in queues, two for each importance
-    class. Nested calls have the first of them, which has precedence. They
+    class. One of the two is for nested calls and has precedence. Nested calls
     may also wait longer than other calls and are never evicted, because the
     work already done for their request would be wasted.
 
     A call that finds the queue full evicts the oldest waiting call of the
-    lowest importance below its own. If calls of its own and higher precedence
-    fill the queue, it is refused instead.
+    lowest importance below its own that is not nested. If calls of its own
+    and higher precedence fill the queue, it is refused instead.
 
     Calls that are not nested are served in last-in, first-out order while
     their queue holds more calls than there are slots. First-in, first-out
@@ -272,10 +272,10 @@
         return self._queues[: own_class * 2 : 2]
 
     def _evict_lower_classes(self, request: AdmissionRequest) -> None:
-        """Refuse the waiting calls of less importance than a refused call.
+        """Refuse waiting calls of lower importance than a refused call.
 
         Otherwise they would be served although a more important call was
-        refused.
+        refused. Nested calls are exempt.
         """
         for queue in self._list_lower_queues(request):
             while queue:
--- a/merlintrail/state/_data_centre_outcomes.py
+++ b/merlintrail/state/_data_centre_outcomes.py
@@ -4,8 +4,8 @@
 
 #: Weight of a new outcome in the moving average of the failure share.
 OUTCOME_WEIGHT: Final = 0.1
-#: Half-life in seconds of the failure share while no outcomes arrive. With
-#: the decay a data centre that was abandoned is tried again.
+#: Half-life in seconds of the failure share while no outcomes arrive. Because
+#: of the decay, a data centre that was avoided is tried again.
 HALF_LIFE_S: Final = 4.0
 #: Load that is added at a failure share of 1.
 FAILURE_LOAD: Final = 2.0
--- a/merlintrail/state/_downstream_levels.py
+++ b/merlintrail/state/_downstream_levels.py
@@ -42,8 +42,8 @@
 
         For each service the highest reported level is also recorded for the
         data centre to which the request was sent. If a nested call left that
-        data centre, the next request sent there is expected to meet the same
-        level.
+        data centre, the nested calls of the next request sent there are
+        expected to leave it too and to be subject to the same level.
 
         :param data_centre: where the request was sent.
         :param levels: levels by key, see :func:`build_level_key`.
@@ -62,7 +62,10 @@
             )
 
     def read(self, kind: str, data_centre: str, now: float) -> int:
-        """Return the highest level that a kind meets in a data centre."""
+        """Return the highest level of the services that a kind calls.
+
+        :param data_centre: where the services are called.
+        """
         services = self._dependencies.get(kind)
         if not services:
             return 0
--- a/merlintrail/state/_ledger_index.py
+++ b/merlintrail/state/_ledger_index.py
@@ -14,7 +14,7 @@
     RUNNING = 'running'
     #: The request ran or may have run.
     EXECUTED = 'executed'
-    #: The request provably did not run and may be tried again.
+    #: The request is proved not to have run and may be tried again.
     RELEASED = 'released'
 
 
--- a/merlintrail/state/_links.py
+++ b/merlintrail/state/_links.py
@@ -19,7 +19,7 @@
         self._rates: Mapping[frozenset[str], float] = {}
         self._nodes = 1
         self._tokens: dict[frozenset[str], float] = {}
-        self._filled_at: dict[frozenset[str], float] = {}
+        self._refilled_at: dict[frozenset[str], float] = {}
         #: Bytes sent across each link by this node.
         self.bytes_sent: dict[frozenset[str], int] = {}
 
@@ -36,19 +36,19 @@
         """Return whether a call may cross; a pair without a rate may."""
         if pair not in self._rates:
             return True
-        return self._fill(pair, now) > 0
+        return self._refill(pair, now) > 0
 
     def spend(self, pair: frozenset[str], now: float, sent: int) -> None:
         """Charge the bytes of a call and its answer."""
         self.bytes_sent[pair] = self.bytes_sent.get(pair, 0) + sent
         if pair in self._rates:
-            self._tokens[pair] = self._fill(pair, now) - sent
+            self._tokens[pair] = self._refill(pair, now) - sent
 
-    def _fill(self, pair: frozenset[str], now: float) -> float:
+    def _refill(self, pair: frozenset[str], now: float) -> float:
         """Refill a bucket and return its tokens; a new one is full."""
         rate = self._rates[pair] / self._nodes
-        elapsed_s = now - self._filled_at.get(pair, now - BURST_S)
-        self._filled_at[pair] = now
+        elapsed_s = now - self._refilled_at.get(pair, now - BURST_S)
+        self._refilled_at[pair] = now
         tokens = self._tokens.get(pair, 0.0) + rate * elapsed_s
         self._tokens[pair] = min(tokens, rate * BURST_S)
         return self._tokens[pair]
--- a/merlintrail/state/_members.py
+++ b/merlintrail/state/_members.py
@@ -10,8 +10,8 @@
 
 #: Seconds for which a member that left is kept in the table.
 LEFT_RETENTION_S: Final = 120.0
-#: Seconds for which a dead member is kept in the table. They are many, so
-#: that regions find each other again after a network partition.
+#: Seconds for which a dead member is kept in the table. The time is long so
+#: that regions can contact each other again after a network partition.
 DEAD_RETENTION_S: Final = 7200.0
 
 
@@ -60,7 +60,7 @@
     #: ``host:port`` for other nodes.
     peer_address: str
     offers: tuple[ServiceOffer, ...] = ()
-    #: Whether the node watches the store for its data centre.
+    #: Whether the node watches the store and passes configurations on.
     is_relay: bool = False
 
     @property
--- a/merlintrail/state/_quarantine.py
+++ b/merlintrail/state/_quarantine.py
@@ -57,11 +57,11 @@
         return not self._suspicions
 
     def record_death(
-        self, death: str, digests: Collection[str], expires_at: float
+        self, crash_id: str, digests: Collection[str], expires_at: float
     ) -> list[Suspicion]:
         """Record the crash of a backend server.
 
-        :param death: identifier of the crash.
+        :param crash_id: identifier of the crash.
         :param digests: requests that were running.
         :returns: the changed suspicions, to be sent to the other nodes.
         """
@@ -73,7 +73,7 @@
             deaths = () if previous is None else previous.deaths
             suspicion = Suspicion(
                 digest,
-                (*deaths, death),
+                (*deaths, crash_id),
                 is_convicted=suspects == [digest],
                 expires_at=expires_at,
             )
--- a/merlintrail/state/_routes.py
+++ b/merlintrail/state/_routes.py
@@ -84,8 +84,9 @@
     def __init__(self, shares: tuple[ServiceShare, ...], start: float) -> None:
         """Initialize the round robin.
 
-        :param start: initial position from 0 to 1. It should be random, so
-            that many nodes together do not favour one share.
+        :param start: initial position from 0 to 1. It should be random:
+            nodes that all started at the same position would send their
+            first requests to the same service.
         """
         self.shares = shares
         self._total = sum(share.weight for share in shares)
--- a/merlintrail/state/_routing.py
+++ b/merlintrail/state/_routing.py
@@ -41,7 +41,7 @@
     A call goes to the nearest tier (own data centre, region, other regions)
     that has capacity; see :class:`SpilloverRule`. Within a tier it goes to
     the less loaded of two random backend servers (power of two choices).
-    Backend servers that fail repeatedly are ejected for a time (outlier
+    Backend servers that fail repeatedly are temporarily ejected (outlier
     ejection).
     """
 
@@ -66,7 +66,7 @@
         #: Bandwidth limits between regions.
         self.links = LinkAllowance()
         #: Whether the initial list of members is complete. From then on a
-        #: backend server that appears is taken to have just started, and is
+        #: backend server that appears is assumed to have just started, and is
         #: warmed up.
         self.has_initial_members = False
 
--- a/merlintrail/state/_shedding.py
+++ b/merlintrail/state/_shedding.py
@@ -11,7 +11,7 @@
 from merlintrail.protocol import MAX_PRIORITY, SUBLEVELS
 
 #: Control interval in seconds.
-WINDOW_S: Final = 0.1
+CONTROL_INTERVAL_S: Final = 0.1
 #: Ratio of admitted load to completed calls that the level aims at. It is
 #: above 1 so that the queue stays filled.
 TARGET_LOAD_RATIO: Final = 1.1
@@ -35,11 +35,11 @@
 FEEDBACK_DELAY_S: Final = 0.4
 #: Seconds for which a reported level is used unchanged before it decays.
 HOLD_S: Final = 0.3
-#: Linear decay of a reported level, in priorities per second.
+#: Linear decay of a reported level after that, in priorities per second.
 DECAY_PER_S: Final = 48.0
 #: Number of sublevels at the top of each importance class that are exempt
-#: from shedding, so that no class is shut out entirely and the levels that
-#: its calls meet stay known.
+#: from shedding. The calls that still pass keep every class partly served,
+#: and their answers keep reporting the current levels to the callers.
 EXEMPT_SUBLEVELS: Final = 4
 #: Table size above which entries that have decayed to 0 are removed.
 MAX_ENTRIES: Final = 4096
@@ -85,15 +85,15 @@
         self._waiting = waiting
         self._limit = limit
 
-    def close_window(self, now: float, windows: int) -> None:
+    def close_interval(self, now: float, intervals: int) -> None:
         """Update the averages with the means since the previous update.
 
-        :param windows: number of control intervals since then.
+        :param intervals: number of control intervals since then.
         """
         self._integrate(now)
         if self._limit_integral > 0:
             weight = 1 - math.exp(
-                -windows * WINDOW_S / OCCUPANCY_TIME_CONSTANT_S
+                -intervals * CONTROL_INTERVAL_S / OCCUPANCY_TIME_CONSTANT_S
             )
             used = self._running_integral / self._limit_integral
             waiting = self._waiting_integral / self._limit_integral
@@ -123,8 +123,8 @@
     ``FEEDBACK_DELAY_S``, because a change takes that long to show.
 
     Otherwise the level is lowered by one priority per control interval, or
-    by a step that doubles each time while the backend server is not
-    saturated.
+    by a step that doubles each time while the backend server is neither
+    saturated nor busy (see ``BUSY_UTILIZATION``).
     """
 
     def __init__(self, now: float) -> None:
@@ -136,7 +136,7 @@
         self._mean_service_s = 0.0
         self._has_overflowed = False
         self._was_saturated = False
-        self._window_started_at = now
+        self._interval_started_at = now
         self._occupancy = _OccupancyAverages(now)
         self._raised_at = now - FEEDBACK_DELAY_S
 
@@ -150,8 +150,8 @@
 
         Calls below the level are refused; see :func:`is_shed`.
         """
-        if now - self._window_started_at >= WINDOW_S:
-            self._close_window(now)
+        if now - self._interval_started_at >= CONTROL_INTERVAL_S:
+            self._close_interval(now)
         return self._level
 
     def record_arrival(self, now: float, priority: int) -> None:
@@ -190,26 +190,28 @@
         """
         self._has_overflowed = True
 
-    def _close_window(self, now: float) -> None:
-        windows = max(1, int((now - self._window_started_at) / WINDOW_S))
-        self._occupancy.close_window(now, windows)
+    def _close_interval(self, now: float) -> None:
+        intervals = max(
+            1, int((now - self._interval_started_at) / CONTROL_INTERVAL_S)
+        )
+        self._occupancy.close_interval(now, intervals)
         if self._has_overflowed:
             self._decrease_step = 1
             self._level = max(self._level, self._find_sustainable_level())
         if self._occupancy.waiting_ratio > MAX_WAITING_RATIO:
             self._raise_for_waiting(now)
         elif not self._has_overflowed:
-            self._lower_level(windows)
+            self._lower_level(intervals)
         time_constant_s = max(
             MIN_TIME_CONSTANT_S,
             self._mean_service_s * TIME_CONSTANT_SERVICE_TIMES,
         )
-        decay = math.exp(-windows * WINDOW_S / time_constant_s)
+        decay = math.exp(-intervals * CONTROL_INTERVAL_S / time_constant_s)
         self._arrivals = [count * decay for count in self._arrivals]
         self._completions *= decay
         self._has_overflowed = False
         self._was_saturated = False
-        self._window_started_at = now
+        self._interval_started_at = now
 
     def _raise_for_waiting(self, now: float) -> None:
         """Raise the level to shed the share of the load that waits.
@@ -231,14 +233,14 @@
                 self._level = min(MAX_PRIORITY, max(self._level, priority + 1))
                 return
 
-    def _lower_level(self, windows: int) -> None:
-        """Lower the level, in doubling steps unless the server is saturated."""
+    def _lower_level(self, intervals: int) -> None:
+        """Lower the level, in doubling steps unless saturated or busy."""
         is_busy = self._occupancy.utilization > BUSY_UTILIZATION
         if self._was_saturated or is_busy:
             self._decrease_step = 1
         else:
             self._decrease_step = min(self._decrease_step * 2, MAX_PRIORITY)
-        self._level = max(0, self._level - self._decrease_step * windows)
+        self._level = max(0, self._level - self._decrease_step * intervals)
 
     def _find_sustainable_level(self) -> int:
         """Return the lowest level whose admitted load fits the capacity.
--- a/merlintrail/state/tests/test_admission.py
+++ b/merlintrail/state/tests/test_admission.py
@@ -46,7 +46,7 @@
     """Calls to one backend server."""
 
     def test_important_call_evicts_less_important_one(self) -> None:
-        """If the queue is full, the least important waiting call goes."""
+        """If the queue is full, the least important waiting call is refused."""
 
         async def scenario() -> Sequence[Refusal | None]:
             admission = _create_admission(1)
--- a/merlintrail/state/tests/test_load_decisions.py
+++ b/merlintrail/state/tests/test_load_decisions.py
@@ -66,7 +66,7 @@
         self.assertEqual(self.shedder.read_level(self.now), first_level)
 
     def test_level_falls_slowly_while_slots_are_in_use(self) -> None:
-        """A fast fall would overload again a service that is just full."""
+        """A fast fall would overload a fully used service again."""
         self.drive(self.shedder, 9, 1.5)
         peak = self.shedder.read_level(self.now)
         self.drive(self.shedder, 0, 1.0)
@@ -118,10 +118,10 @@
 
     def choose(self, *, is_nested: bool = False, size: float = 0) -> str:
         """Return the chosen node, or an empty string for none."""
-        demand = RoutingRequest(
+        request = RoutingRequest(
             'svc', _NORMAL, is_nested=is_nested, kind='k', size=size
         )
-        choice = self.table.choose(demand, ())
+        choice = self.table.choose(request, ())
         return (
             choice.target.member.node_id if isinstance(choice, Choice) else ''
         )
@@ -243,7 +243,7 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    """Retries to a service of whose calls most fail."""
+    """Retries to a service most of whose calls fail."""
 
     def test_urgent_calls_have_a_reserved_share(self) -> None:
         """Calls that are not urgent cannot use up the budget."""
--- a/merlintrail/state/tests/test_retry_account.py
+++ b/merlintrail/state/tests/test_retry_account.py
@@ -66,7 +66,7 @@
     """The retries of a node are a share of its first attempts."""
 
     def test_retries_stay_a_share_of_attempts(self) -> None:
-        """All of ten thousand first attempts ask for a retry."""
+        """A retry is requested after each of ten thousand first attempts."""
         budget = RetryBudget(0.1)
         granted = 0
         for _ in range(10000):
