--- a/merlintrail/coordination/_heartbeat.py
+++ b/merlintrail/coordination/_heartbeat.py
@@ -42,11 +42,11 @@
 SUSPICION_TIMEOUT_S: Final = 1.5
 #: Seconds between sweeps that expire suspects and refresh the neighbours.
 SWEEP_INTERVAL_S: Final = 0.25
-#: Seconds of delay of a sweep beyond which this node counts as having been
+#: Delay of a sweep in seconds above which this node is assumed to have been
 #: paused itself.
 PAUSE_THRESHOLD_S: Final = 1.0
-#: Replies that differ in the table digest but carry no updates, with no
-#: matching digest between them, after which the tables are compared.
+#: Number of replies with a different table digest and no updates after which
+#: the tables are compared. A reply with the same digest resets the count.
 MISMATCHES_BEFORE_COMPARISON: Final = 4
 #: Seconds between attempts to reach a dead member.
 PROBE_INTERVAL_S: Final = 10.0
@@ -77,7 +77,11 @@
         self._refreshed_digest = 0
 
     async def run(self) -> None:
-        """Sweep suspects, neighbours and dead members until cancelled."""
+        """Sweep periodically until cancelled.
+
+        A sweep expires suspects, refreshes the neighbours and probes a dead
+        member when that is due.
+        """
         swept_at = self._clock()
         try:
             while True:
@@ -192,6 +196,7 @@
 
     def notify_neighbours(self) -> None:
         """Wake the heartbeat tasks, so that none waits for its interval.
+
         Called after a new configuration generation was accepted.
         """
         for outbox in self._membership.outboxes.values():
@@ -220,7 +225,7 @@
             if reply is None:
                 failing_since = failing_since if is_fresh else sent_at
                 is_fresh = True
-                self._check_silence(member, failing_since)
+                self._suspect_if_overdue(member, failing_since)
                 await asyncio.sleep(RETRY_INTERVAL_S)
                 continue
             is_fresh = False
@@ -323,10 +328,10 @@
         if await self.pull_configuration(address):
             self.notify_neighbours()
 
-    def _check_silence(self, member: Member, failing_since: float) -> None:
+    def _suspect_if_overdue(self, member: Member, failing_since: float) -> None:
         """Suspect a member whose heartbeats failed for the whole timeout.
 
-        The time starts anew when this node itself was paused.
+        The timeout starts again when this node itself was paused.
         """
         since = max(failing_since, self._paused_at)
         if self._clock() - since > SUSPICION_TIMEOUT_S:
@@ -374,7 +379,7 @@
             probe.add_done_callback(_consume_exception)
 
     async def _probe(self, member: Member) -> None:
-        """Send a dead member its record, which it refutes if it is alive."""
+        """Send a dead member its record, which it refutes if it is running."""
         answer = await self._peers.send_request(
             member.peer_address,
             'compare',
--- a/merlintrail/coordination/_ledger.py
+++ b/merlintrail/coordination/_ledger.py
@@ -99,7 +99,7 @@
     """Return a refusal for a key whose age is out of range.
 
     The record of a key that is older than the retention may have been
-    trimmed, so that a repeated request could not be recognised. A key that
+    removed, so that a resent request could not be recognised. A key that
     carries no timestamp is accepted.
     """
     age_s = read_key_age_s(key, wall_time_s)
--- a/merlintrail/coordination/_ledger_slot.py
+++ b/merlintrail/coordination/_ledger_slot.py
@@ -21,7 +21,7 @@
 #: Attempts to acquire a slot before its requests are refused; an attempt
 #: fails, for example, when another node writes the slot at the same time.
 MAX_ACQUISITION_ATTEMPTS: Final = 5
-#: Seconds to find out whether a write took effect whose answer was lost.
+#: Seconds allowed to find out whether a write with a lost answer took effect.
 RESOLVE_TIMEOUT_S: Final = 1.5
 #: Seconds between reads of the store until the outcome of a write is known.
 RESOLVE_INTERVAL_S: Final = 0.05
@@ -84,12 +84,15 @@
         self._writer: asyncio.Task[None] | None = None
         #: Records of the keys in the log.
         self.index = LedgerIndex()
-        #: Seconds for which keys are remembered.
+        #: Seconds for which keys are kept.
         self.retention_s = settings.retention_s
 
     @property
     def is_owned(self) -> bool:
-        """Whether this node holds itself to be the owner of the slot."""
+        """Whether this node acquired the slot and no write has failed since.
+
+        Another node may have acquired it in the meantime.
+        """
         return self._tail is not None
 
     async def acquire(self) -> Refusal | None:
@@ -169,7 +172,7 @@
         return None
 
     async def _write_segment(self, segment: Segment) -> StoreFailure | None:
-        """Write a segment and find out whether the write took effect."""
+        """Write a segment and, if the answer is lost, find out the outcome."""
         written = await self._write_once(segment)
         if isinstance(written, int):
             self._advance(segment._replace(version=written))
@@ -183,7 +186,7 @@
             return written
 
     async def _resolve_write(self, segment: Segment) -> StoreFailure | None:
-        """Find out whether a write took effect whose answer was lost.
+        """Find out whether a write with a lost answer took effect.
 
         Reads the segment back, and repeats the write as long as the stored
         version is still the one before it. The repeated write expects the
--- a/merlintrail/coordination/_membership.py
+++ b/merlintrail/coordination/_membership.py
@@ -108,7 +108,7 @@
         )
 
     def requeue(self, node_id: str, gossip: Gossip) -> None:
-        """Queue the updates of a message again that did not arrive."""
+        """Queue again the updates of a message that was not delivered."""
         outbox = self.outboxes.get(node_id)
         if outbox is None or not gossip.has_updates:
             return
@@ -136,7 +136,7 @@
         self._merge_suspicions(read_suspicions(records), sender)
 
     def gossip_suspicions(self, suspicions: Iterable[Suspicion]) -> None:
-        """Queue suspicions that this node found for every neighbour."""
+        """Queue this node's new suspicions for every neighbour."""
         for suspicion in suspicions:
             for outbox in self.outboxes.values():
                 outbox.put_suspicion(suspicion)
@@ -154,7 +154,7 @@
         return True
 
     def expire_suspects(self) -> list[Member]:
-        """Mark suspects as dead whose time to refute is over; return them.
+        """Mark suspects as dead after the refutation timeout; return them.
 
         The change is not gossiped: the suspicion was, and each node that
         received it expires it by itself.
--- a/merlintrail/coordination/_messages.py
+++ b/merlintrail/coordination/_messages.py
@@ -68,7 +68,10 @@
 
 
 def read_statuses(records: Sequence[Any]) -> list[StatusUpdate]:
-    """Decode status updates; malformed ones are skipped."""
+    """Decode status updates.
+
+    Arrays of another length or with an unknown status are skipped.
+    """
     return [
         StatusUpdate(*record)
         for record in records
@@ -78,6 +81,6 @@
 
 
 def read_suspicions(records: Sequence[Any]) -> list[Suspicion]:
-    """Decode suspicions; malformed ones are skipped."""
+    """Decode suspicions; arrays of another length are skipped."""
     suspicions = [read_suspicion(record) for record in records]
     return [suspicion for suspicion in suspicions if suspicion is not None]
--- a/merlintrail/coordination/_outbox.py
+++ b/merlintrail/coordination/_outbox.py
@@ -52,7 +52,7 @@
     def requeue(
         self, members: list[Member], suspicions: list[Suspicion]
     ) -> None:
-        """Queue updates of a message again that did not arrive.
+        """Queue again the updates of a message that was not delivered.
 
         An update that was queued in the meantime is kept.
         """
--- a/merlintrail/coordination/_relay.py
+++ b/merlintrail/coordination/_relay.py
@@ -105,7 +105,7 @@
         self._backoff_s = MIN_BACKOFF_S
 
     async def run(self) -> None:
-        """Check for a free slot, serve as a relay, and start over."""
+        """Repeatedly acquire a free slot and serve as a relay."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S * self._rng.uniform(0.7, 1.3))
             slot = self._choose_slot()
@@ -184,7 +184,7 @@
         return isinstance(written, int)
 
     def _is_abandoned(self, announcement: StoreValue) -> bool:
-        """Return whether a later process took over the relay's address."""
+        """Return whether a later process uses the relay's address."""
         address = str(announcement.document['address'])
         incarnation = announcement.document.get('incarnation', 0)
         return any(
@@ -251,7 +251,7 @@
         """Poll the store for relays that this node does not know.
 
         This connects groups of nodes that started at the same time or were
-        partitioned for long.
+        partitioned for a long time.
         """
         started_at = asyncio.get_running_loop().time()
         while True:
--- a/merlintrail/coordination/_store.py
+++ b/merlintrail/coordination/_store.py
@@ -7,7 +7,7 @@
 
 
 class StoreFault(enum.StrEnum):
-    """Why a call of the store failed."""
+    """Why a call to the store failed."""
 
     #: The call certainly had no effect.
     UNAVAILABLE = 'unavailable'
--- a/merlintrail/coordination/_store_wire.py
+++ b/merlintrail/coordination/_store_wire.py
@@ -15,7 +15,7 @@
 
 ResultT = TypeVar('ResultT')
 
-#: Meaning of statuses that every call may get.
+#: Faults by the statuses that any call may get.
 _COMMON_FAULTS: Final[Mapping[int, StoreFault]] = {
     429: StoreFault.UNAVAILABLE,
     503: StoreFault.UNAVAILABLE,
@@ -32,7 +32,7 @@
     read: Callable[[Any], ResultT]
     #: JSON document to send, ``None`` for an empty body.
     body: object = None
-    #: Meaning of statuses other than 200; others are of unknown outcome.
+    #: Faults by status. Any other status except 200 is an unknown outcome.
     faults: Mapping[int, StoreFault] = _COMMON_FAULTS
     #: Seconds for which the store may delay its answer, as for a watch.
     wait_s: float = 0.0
--- a/merlintrail/coordination/tests/peer_network.py
+++ b/merlintrail/coordination/tests/peer_network.py
@@ -8,8 +8,8 @@
 
 from merlintrail.coordination import (
     Heartbeats,
-    MembershipState,
     Membership,
+    MembershipState,
     PeerClient,
 )
 from merlintrail.protocol import DecodeFailure, decode_json, encode_json
--- a/merlintrail/coordination/tests/test_membership.py
+++ b/merlintrail/coordination/tests/test_membership.py
@@ -48,7 +48,7 @@
         run_virtually(scenario())
 
     def test_restart_with_a_new_incarnation(self) -> None:
-        """A node restarted under its name and address is alive again."""
+        """A node restarted under its name and address is a member again."""
 
         async def scenario() -> None:
             network = await start_network()
@@ -108,10 +108,11 @@
         run_virtually(scenario())
 
     def test_partition_heals(self) -> None:
-        """Two partitions lose each other and merge once they are connected.
+        """Two partitions declare each other dead and merge once connected.
 
-        Guards against members that are dead for long and are never contacted
-        again. A node that joins one partition must reach the other, too.
+        Guards against members that have been dead for a long time and are
+        never contacted again. A node that joins one partition must reach the
+        other, too.
         """
 
         async def scenario() -> None:
@@ -147,7 +148,7 @@
         run_virtually(scenario())
 
     def test_suspicions_reach_every_node(self) -> None:
-        """A request convicted at one node is convicted at all within 1 s."""
+        """A quarantine at one node reaches every other node within 1 s."""
 
         async def scenario() -> None:
             network = await start_network()
--- a/merlintrail/observability/_logs.py
+++ b/merlintrail/observability/_logs.py
@@ -114,7 +114,7 @@
 
 
 def log_decision(event: str, **fields: object) -> None:
-    """Log a routing, placement, admission or refusal decision.
+    """Log a decision of the node, such as a routing or a refusal.
 
     The line is formatted and written later, so that logging does not delay
     the call; its time is that of this function call. Fields that are
--- a/merlintrail/protocol/_call.py
+++ b/merlintrail/protocol/_call.py
@@ -55,7 +55,8 @@
     #: Shedding level of the backend server: calls of a lower priority are
     #: refused.
     level: int
-    #: Shedding levels that nested calls met, by ``service@data_centre``.
+    #: Shedding levels of the services that nested calls were sent to, by
+    #: ``service@data_centre``.
     downstream_levels: Mapping[str, int]
     #: Calls running or queued at the backend servers of the node.
     in_flight: int
--- a/merlintrail/protocol/_inquiry.py
+++ b/merlintrail/protocol/_inquiry.py
@@ -5,18 +5,18 @@
 
 
 class InquiryState(enum.StrEnum):
-    """State of a call at the node that was asked."""
+    """State of a call at the node that receives the inquiry."""
 
     FINISHED = 'finished'
     RUNNING = 'running'
     #: The call has not arrived, and is refused if it arrives later.
     TOMBSTONE = 'tombstone'
-    #: The asked process is not the one that the call was sent to.
+    #: The process that answers is not the one that the call was sent to.
     OTHER_INCARNATION = 'other-incarnation'
 
 
 class Inquiry(NamedTuple):
-    """Question for the state of one call."""
+    """A query for the state of one call."""
 
     call_id: str
     incarnation: int
--- a/merlintrail/transport/_client.py
+++ b/merlintrail/transport/_client.py
@@ -21,7 +21,7 @@
 
 
 def _ignore_slow_exchange(connection: object) -> None:
-    """Keep waiting for the answer."""
+    """Do nothing, so that the exchange goes on without a time limit."""
 
 
 class ExchangeTimeouts(NamedTuple):
--- a/merlintrail/transport/_request_parser.py
+++ b/merlintrail/transport/_request_parser.py
@@ -21,7 +21,7 @@
     max_header_bytes: int = 16384
     #: Maximum size of a request body, in bytes.
     max_body_bytes: int = 1048576
-    #: Seconds within which a request that has begun must be complete.
+    #: Seconds to receive a request, from its first byte to its last.
     receive_timeout_s: float = 10.0
     #: Seconds for which an idle connection is kept open.
     idle_timeout_s: float = 75.0
--- a/merlintrail/transport/_server.py
+++ b/merlintrail/transport/_server.py
@@ -283,7 +283,7 @@
 
 
 def _ignore_bad_request(bad_request: BadRequest) -> None:
-    """Do not report a malformed request."""
+    """Do not report an invalid request."""
 
 
 async def start_server(
--- a/merlintrail/transport/tests/test_client.py
+++ b/merlintrail/transport/tests/test_client.py
@@ -9,9 +9,9 @@
 
 from merlintrail.transport import (
     ConnectionPool,
+    ExchangeTimeouts,
     FailureStage,
     HttpResponse,
-    ExchangeTimeouts,
     TransportFailure,
     create_pool,
 )
