--- a/merlintrail/bench/_capacity.py
+++ b/merlintrail/bench/_capacity.py
@@ -39,7 +39,7 @@
 DATA_CENTRE_COUNT: Final = 14
 SERVICE_COUNT: Final = 49
 REGION_COUNT: Final = 6
-#: Minimum seconds after the loss of a data centre in which traffic is measured.
+#: Minimum seconds over which traffic is measured after a data centre is lost.
 LOSS_WINDOW_S: Final = 6.0
 _CHOICE_COUNT: Final = 2000
 _MS_PER_S: Final = 1000
@@ -125,8 +125,8 @@
 
 
 def _create_routing(table: MemberTable) -> RoutingTable:
-    place = NodeLocation('instance-0000', 'data-centre-0')
-    routing = RoutingTable(place, time.monotonic, random.Random(1))
+    location = NodeLocation('instance-0000', 'data-centre-0')
+    routing = RoutingTable(location, time.monotonic, random.Random(1))
     routing.update_regions(
         {
             f'data-centre-{number}': f'region-{number % REGION_COUNT}'
--- a/merlintrail/bench/_deployments.py
+++ b/merlintrail/bench/_deployments.py
@@ -1,4 +1,7 @@
-"""Deployments of the overload benchmarks: two sites, scaled down."""
+"""Deployments of the overload benchmarks.
+
+They have the services of the configurations in ``examples/``, scaled down.
+"""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, Final, NamedTuple
--- a/merlintrail/bench/_fault_soak.py
+++ b/merlintrail/bench/_fault_soak.py
@@ -2,9 +2,10 @@
 
 Callers send requests to a small deployment of real processes. Meanwhile nodes
 are killed, paused and restarted, backend servers are killed, connections
-between nodes are reset, delayed or lose their traffic, and the store fails, is
-slow or loses answers. Afterwards the answers that the callers received and the
-run logs of the backend servers are checked for violated guarantees.
+between nodes are reset, delayed or have their traffic dropped, and the store
+fails, is slow or loses answers. Afterwards the answers that the callers
+received and the run logs of the backend servers are checked for violated
+guarantees.
 """
 
 import asyncio
@@ -29,7 +30,7 @@
 
 #: Seeds that had findings with 8 s of fault injection, and the cause.
 FAILED_SEEDS: Final[Mapping[int, str]] = {
-    21: 'the check held the run of the first attempt against a refused retry',
+    21: 'the check took the run of attempt 1 for that of a refused retry',
     37: 'same cause as seed 21',
 }
 #: Instances with a backend server.
--- a/merlintrail/bench/_figures.py
+++ b/merlintrail/bench/_figures.py
@@ -19,8 +19,8 @@
     unit: str
     #: Target of the project, if there is one.
     target: float | None = None
-    #: Value that the figure is compared with, if there is one, as that of
-    #: direct calls.
+    #: Value to compare the figure with, such as that of direct calls, if
+    #: there is one.
     baseline: float | None = None
 
 
--- a/merlintrail/bench/_latency.py
+++ b/merlintrail/bench/_latency.py
@@ -135,19 +135,19 @@
                 due += rng.expovariate(rate * len(addresses))
                 await asyncio.sleep(max(0.0, due - loop.time()))
                 self.sent[name] += 1
-                is_counted = due > started_at + WARMUP_S
+                is_recorded = due > started_at + WARMUP_S
                 tasks.append(
-                    loop.create_task(self._call(name, address, is_counted))
+                    loop.create_task(self._call(name, address, is_recorded))
                 )
         await asyncio.gather(*tasks)
 
-    def compute_quantile(self, name: str, quantile: float) -> float:
+    def compute_quantile_ms(self, name: str, quantile: float) -> float:
         """Return a quantile of the latencies in milliseconds."""
         ordered = sorted(self.latencies[name])
         index = min(len(ordered) - 1, int(len(ordered) * quantile))
         return ordered[index] * _MS_PER_S
 
-    async def _call(self, name: str, address: str, is_counted: bool) -> None:
+    async def _call(self, name: str, address: str, is_recorded: bool) -> None:
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         timer_started_at = time.perf_counter()
@@ -155,7 +155,7 @@
             address, 'POST', '/echo/call', (('host', 'x'),), _BODY
         )
         elapsed_s = time.perf_counter() - timer_started_at
-        if is_counted and isinstance(answer, HttpResponse):
+        if is_recorded and isinstance(answer, HttpResponse):
             assert answer.status == 200, (answer, started_at)
             self.latencies.setdefault(name, []).append(elapsed_s)
 
@@ -186,8 +186,8 @@
     finally:
         deployment.stop()
     for name, quantile, target in (('p50', 0.5, None), ('p99', 0.99, 0.43)):
-        direct = prober.compute_quantile('direct', quantile)
-        nodes = prober.compute_quantile('nodes', quantile)
+        direct = prober.compute_quantile_ms('direct', quantile)
+        nodes = prober.compute_quantile_ms('nodes', quantile)
         print_figure(
             Figure(
                 f'added_latency.{name}_ms',
--- a/merlintrail/bench/_libraries.py
+++ b/merlintrail/bench/_libraries.py
@@ -61,9 +61,9 @@
         print_figure(
             Figure(
                 f'{prefix}_{name}_ms',
-                prober.compute_quantile('line', quantile),
+                prober.compute_quantile_ms('line', quantile),
                 'ms',
-                baseline=prober.compute_quantile('direct', quantile),
+                baseline=prober.compute_quantile_ms('direct', quantile),
             )
         )
     cpu_ms = cpu_s / prober.sent['line'] / 2 * _MS_PER_S
--- a/merlintrail/bench/_outcomes.py
+++ b/merlintrail/bench/_outcomes.py
@@ -25,8 +25,8 @@
 def bench_ledger(_: int) -> None:
     """Measure store writes and added latency of keyed requests.
 
-    Both are measured at several request rates; the added latency is that over
-    requests without a key.
+    Both are measured at several request rates. The added latency is the
+    difference from requests without a key.
     """
     echo = {'service': 'echo', 'slots': 64, 'service_ms': 0}
     plans = [
@@ -94,8 +94,8 @@
 def bench_drain(_: int) -> None:
     """Drain a node under load.
 
-    The targets are that no request fails, and that the backend server begins no
-    call later than 2 s after the drain starts.
+    The targets are that no request fails, and that the backend server starts no
+    call later than 2 s after SIGTERM.
     """
     deployment = _start_echo_fleet()
     try:
@@ -124,17 +124,17 @@
     await asyncio.sleep(3)
     deployment.send_signal('node echo-1', signal.SIGTERM)
     await asyncio.sleep(2)
-    begun_before = await loop.run_in_executor(
-        None, _count_begun_requests, deployment
+    started_before = await loop.run_in_executor(
+        None, _count_started_requests, deployment
     )
     await asyncio.sleep(3)
-    begun_after = await loop.run_in_executor(
-        None, _count_begun_requests, deployment
+    started_after = await loop.run_in_executor(
+        None, _count_started_requests, deployment
     )
-    return begun_after - begun_before, await load
+    return started_after - started_before, await load
 
 
-def _count_begun_requests(deployment: Deployment) -> int:
+def _count_started_requests(deployment: Deployment) -> int:
     counts = deployment.control_backend('echo-1')['counts']
     return int(counts.get('begun', 0))
 
--- a/merlintrail/bench/_overload.py
+++ b/merlintrail/bench/_overload.py
@@ -89,7 +89,7 @@
     recovery_s: float
     #: As the goodput ratio, for the kind of critical importance.
     top_importance_ratio: float
-    #: Share of the requests begun by backend servers beyond those that the
+    #: Share of the requests started by backend servers beyond those that the
     #: successful requests needed.
     wasted_share: float
     #: Retries by nodes or forwarders, per request of a client.
@@ -216,13 +216,13 @@
 def _measure(
     rig: Rig, bench_deployment: BenchDeployment, trigger: Trigger, seed: int
 ) -> Measures:
-    begun_before = rig.count_begun_requests()
+    started_before = rig.count_started_requests()
     retries_before = rig.count_retries()
     result = uvloop.run(_run_load(rig, bench_deployment, trigger, seed))
     if _DETAILS.value:
         _print_details(bench_deployment, result)
     capacity = bench_deployment.compute_capacity() * trigger.capacity_share
-    begun = rig.count_begun_requests() - begun_before
+    started = rig.count_started_requests() - started_before
     retries = rig.count_retries() - retries_before
     return Measures(
         _compute_goodput_ratio(result, capacity),
@@ -230,7 +230,7 @@
         _compute_top_importance_ratio(bench_deployment, result, capacity),
         max(
             0.0,
-            1 - _count_useful_calls(bench_deployment, result) / max(1, begun),
+            1 - _count_useful_calls(bench_deployment, result) / max(1, started),
         ),
         retries / max(1, len(result.samples)),
     )
--- a/merlintrail/bench/_rig.py
+++ b/merlintrail/bench/_rig.py
@@ -71,16 +71,16 @@
             for instance in self.deployment.workers
         )
 
-    def count_begun_requests(self) -> int:
-        """Return the number of requests begun by the running backend servers.
+    def count_started_requests(self) -> int:
+        """Return the number of requests started by the running backend servers.
 
         The count of a backend server is lost when it is killed.
         """
-        begun = 0
+        started = 0
         for instance in self.deployment.workers:
             counts = self.deployment.control_backend(instance)['counts']
-            begun += counts.get('begun', 0)
-        return begun
+            started += counts.get('begun', 0)
+        return started
 
     def _start_forwarders(self) -> None:
         table: dict[str, list[str]] = {}
--- a/merlintrail/bench/_soak_faults.py
+++ b/merlintrail/bench/_soak_faults.py
@@ -23,7 +23,7 @@
 #: Seconds between two polls for the exit of a process.
 _POLL_INTERVAL_S: Final = 0.05
 
-#: Fields of the store stand-in's faults to set.
+#: Faults of the fake store to switch on, by field of ``Faults``.
 StoreFaults: TypeAlias = dict[str, Any]
 #: Injects a fault into the named target for a number of seconds.
 FaultAction: TypeAlias = Callable[[str, float], Awaitable[None]]
--- a/merlintrail/bench/tests/test_fault_soak.py
+++ b/merlintrail/bench/tests/test_fault_soak.py
@@ -87,7 +87,7 @@
         self.assertEqual(len(check_records([record], {'a.2': 1})), 1)
         self.assertEqual(len(check_records([record], {'a.1': 2})), 1)
 
-    def test_success(self) -> None:
+    def test_success_share(self) -> None:
         """Earlier requests are left out; without requests the share is 0."""
         early = _build_record(status=503)
         late = _build_record(sent_at=5.0)
--- a/merlintrail/cli/_admin_client.py
+++ b/merlintrail/cli/_admin_client.py
@@ -11,7 +11,7 @@
 
 
 class AdminFailure(NamedTuple):
-    """Returned in place of a reply when there is none to use."""
+    """Returned in place of a reply when a request got no usable one."""
 
     #: HTTP status, 0 when no HTTP response was received.
     status: int
--- a/merlintrail/cli/_explain.py
+++ b/merlintrail/cli/_explain.py
@@ -159,9 +159,9 @@
         is_sent = line.event == 'route' and target
         if is_sent and (target, line.request_id) not in arrivals:
             gaps.append(
-                f'{target} says nothing of {line.request_id}, sent to it at '
-                f'{line.time[11:]}: its log is missing, it was not reached, '
-                'or it ended meanwhile'
+                f'{target} logged no arrival of {line.request_id}, sent to it '
+                f'at {line.time[11:]}: its log is missing, it was not reached, '
+                'or it exited first'
             )
     for line in lines:
         if line.event == 'lines left out':
--- a/merlintrail/cli/_main.py
+++ b/merlintrail/cli/_main.py
@@ -20,7 +20,9 @@
 KEY_VARIABLE: Final = 'MERLINTRAIL_KEY'
 
 _NODE: Final = flags.DEFINE_string(
-    'node', '127.0.0.1:7302', 'Administration address of a node, host:port.'
+    'node',
+    '127.0.0.1:7302',
+    'Administration address of a node, host:port; for load, a call address.',
 )
 _KEY_FILE: Final = flags.DEFINE_string(
     'key_file', None, f'File with the operator key; ${KEY_VARIABLE} otherwise.'
@@ -51,13 +53,13 @@
   config example          a small document to start from
   settings check FILE     check the settings of a node
   status                  every node, a line each (--json)
-  members                 the members that the node knows
+  members                 the members that the node lists
   routes                  the routes in force at the node
   metrics                 the metrics of the node
   console                 the address of the console
   explain ID [FILE ...]   the path of a request, from the logs of nodes
-  load TARGET             send requests to --node's call address (--rate,
-                          --duration, --deadline_ms, --keyed)
+  load TARGET             send requests to --node, which must be a call address
+                          (--rate, --duration, --deadline_ms, --keyed)
   help                    this text
 
 FILE may be - for standard input, which explain reads if not given one.
--- a/merlintrail/cli/_output.py
+++ b/merlintrail/cli/_output.py
@@ -7,7 +7,7 @@
 from merlintrail.cli._admin_client import AdminFailure, AdminReply
 from merlintrail.cli._exit_codes import ExitCode
 
-_STORE_DOWN = 503
+_UNAVAILABLE = 503
 _UNAUTHORIZED = 401
 
 
@@ -27,7 +27,7 @@
     if isinstance(reply, AdminReply):
         error = reply.document.get('error', reply.document)
         sys.stderr.write(f'refused with status {reply.status}: {error}\n')
-        if reply.status == _STORE_DOWN:
+        if reply.status == _UNAVAILABLE:
             return ExitCode.UNREACHABLE
         return ExitCode.FAILED
     sys.stderr.write(f'{reply.reason}\n')
--- a/merlintrail/cli/tests/test_explain.py
+++ b/merlintrail/cli/tests/test_explain.py
@@ -11,10 +11,10 @@
 from merlintrail.cli._exit_codes import ExitCode
 from merlintrail.cli._explain import (
     LogLine,
-    format_lines,
     explain_request,
     find_causes,
     find_gaps,
+    format_lines,
     read_log,
     select_lines,
 )
@@ -90,7 +90,7 @@
             ],
         )
 
-    def test_foreign_text(self) -> None:
+    def test_text_around_objects(self) -> None:
         """Lines that are no JSON object are skipped, and prefixes removed."""
         lines = read_log(
             ['', 'text', '{broken', '[7]', f'  5.1 s front: {_FRONT[0]}\n'],
@@ -98,7 +98,7 @@
         )
         self.assertEqual([line.request_id for line in lines], ['a'])
 
-    def test_cut_line(self) -> None:
+    def test_truncated_line(self) -> None:
         """An object behind the first part of a truncated line is parsed."""
         complete_line = '{"time":"t","event":"route","request_id":"a"}'
         lines = read_log(
@@ -139,7 +139,7 @@
         lines = _read_all(_FRONT, _BACK, drop_notice)
         gaps = find_gaps(select_lines('a', lines), lines)
         self.assertEqual(len(gaps), 2)
-        self.assertIn('deep says nothing of b', gaps[0])
+        self.assertIn('deep logged no arrival of b', gaps[0])
         self.assertIn('back left out 7 lines', gaps[1])
         complete = _read_all(_FRONT, _BACK, _DEEP)
         self.assertEqual(find_gaps(select_lines('a', complete), complete), [])
@@ -168,5 +168,5 @@
         text = output.getvalue()
         self.assertIn('03:04:05.300  back   refuse    a  reason=overload', text)
         self.assertIn('cause: middle: overload', text)
-        self.assertIn('missing: deep says nothing of b', text)
+        self.assertIn('missing: deep logged no arrival of b', text)
         self.assertIn('none of 6 log lines names unknown', errors.getvalue())
--- a/merlintrail/console/_application.py
+++ b/merlintrail/console/_application.py
@@ -20,7 +20,7 @@
 
 #: Maximum size of a request body in bytes.
 MAX_BODY_BYTES: Final = 2097152
-#: Path of the metrics as text, which is served without a key.
+#: Path of the metrics in the Prometheus text format, served without a key.
 METRICS_PATH: Final = '/metrics'
 _REASON_PHRASES: Final = {
     200: 'OK',
--- a/merlintrail/console/_form_console.py
+++ b/merlintrail/console/_form_console.py
@@ -40,7 +40,7 @@
 
 
 class FormConsole:
-    """Serves the pages; what a form applies is one validated document."""
+    """Serves the pages; applying a form replaces the whole document."""
 
     def __init__(self, access: NodeAccess, operators: OperatorRegistry) -> None:
         self._access = access
@@ -53,7 +53,7 @@
         }
 
     def serve(self, request: AdminRequest) -> AdminAnswer:
-        """Answer one request of a browser, or ask it to sign in."""
+        """Answer one request, with the login page if not authenticated."""
         if request.path == '/login' and request.method == 'POST':
             return self._sign_in(request)
         if request.operator is None:
@@ -67,7 +67,9 @@
         fields = _read_fields(request.body)
         operator = self._operators.find_by_key(fields.get('key', ''))
         if operator is None:
-            return answer_page(401, build_login_page('The key is not known.'))
+            return answer_page(
+                401, build_login_page('The operator key is wrong.')
+            )
         token = self._operators.open_session(operator)
         cookie = f'{COOKIE}={token}; HttpOnly; SameSite=Strict; Path=/'
         return redirect('/', ('Set-Cookie', cookie))
--- a/merlintrail/console/_forms.py
+++ b/merlintrail/console/_forms.py
@@ -95,8 +95,8 @@
     kind = schema.get('type')
     if kind == 'object':
         yield f'<fieldset><legend>{_make_label(name)}</legend>'
-        members = document if isinstance(document, dict) else {}
-        yield from _render_object(context, schema, members, path)
+        child_document = document if isinstance(document, dict) else {}
+        yield from _render_object(context, schema, child_document, path)
         yield '</fieldset>'
     elif kind == 'array' and not is_scalar_list(context.schema, schema):
         yield from _render_rows(context, schema, document or [], path)
@@ -118,6 +118,7 @@
         row = f'{path}{SEPARATOR}{number}'
         title = entry.get('name', entry.get('id', '')) or f'no. {number + 1}'
         yield f'<fieldset class="row"><legend>{escape(str(title))}</legend>'
+        # Keeps the row in the submitted form even without other fields.
         yield f'<input type="hidden" name="{row}{SEPARATOR}" value="">'
         yield from _render_object(context, row_schema, entry, row)
         yield (
--- a/merlintrail/console/_pages.py
+++ b/merlintrail/console/_pages.py
@@ -61,7 +61,7 @@
 def build_overview(
     status: Mapping[str, Any], members: Sequence[Mapping[str, Any]]
 ) -> str:
-    """Build the page that shows the node and the members it has listed."""
+    """Build the page that shows the node and the members that it lists."""
     node_rows = [
         {'what': name, 'state': status[name]}
         for name in ('instance', 'data_centre', 'generation', 'health')
--- a/merlintrail/console/tests/test_application.py
+++ b/merlintrail/console/tests/test_application.py
@@ -73,7 +73,7 @@
 
 
 class ApplicationTest(unittest.TestCase):
-    """One operator uses the forms while another may use the API."""
+    """Requests to the console and the API of one node."""
 
     def setUp(self) -> None:
         self.server = _Server()
@@ -190,7 +190,7 @@
             self.assertIn('error', answer)
         self.assertEqual(self.call_api('GET', '/v1/nothing')[0], 404)
 
-    def test_form_gives_the_same_document(self) -> None:
+    def test_unchanged_form_applies_same_document(self) -> None:
         """Submitting an unchanged form applies an identical document."""
         self.apply(0)
         self.browse('/login', {'key': _KEY})
@@ -202,7 +202,7 @@
         _, envelope = self.call_api('GET', '/v1/configuration')
         self.assertEqual(envelope['document'], load_example())
 
-    def test_error_stands_beside_its_field(self) -> None:
+    def test_error_is_shown_beside_its_field(self) -> None:
         """Text in a number field is reported and kept, but not applied."""
         self.apply(0)
         self.browse('/login', {'key': _KEY})
@@ -216,7 +216,7 @@
         _, envelope = self.call_api('GET', '/v1/configuration')
         self.assertEqual(envelope['generation'], 1)
 
-    def test_loser_of_a_race_loses_nothing_typed(self) -> None:
+    def test_conflict_keeps_entries(self) -> None:
         """A conflict shows the other changes and keeps the entries.
 
         Submitting the form again then succeeds.
@@ -251,7 +251,7 @@
         )
         self.assertNotIn('services.3.name', self.read_fields(page))
 
-    def test_form_of_no_session_is_refused(self) -> None:
+    def test_form_without_token_is_refused(self) -> None:
         """A form without its CSRF token is refused with 403."""
         self.browse('/login', {'key': _KEY})
         status, _ = self.browse('/configuration', {'do': 'apply'})
--- a/merlintrail/lab/relay.py
+++ b/merlintrail/lab/relay.py
@@ -53,7 +53,7 @@
         self._generation += 1
 
     def reset(self) -> None:
-        """Reset every open connection."""
+        """Abort every open connection; data not yet sent is discarded."""
         for writer in tuple(self._writers):
             writer.transport.abort()
 
