--- a/merlintrail/console/_form_console.py
+++ b/merlintrail/console/_form_console.py
@@ -67,9 +67,7 @@
         fields = _read_fields(request.body)
         operator = self._operators.find_by_key(fields.get('key', ''))
         if operator is None:
-            return answer_page(
-                401, build_login_page('The operator key is wrong.')
-            )
+            return answer_page(401, build_login_page('The key is not known.'))
         token = self._operators.open_session(operator)
         cookie = f'{COOKIE}={token}; HttpOnly; SameSite=Strict; Path=/'
         return redirect('/', ('Set-Cookie', cookie))
@@ -99,9 +97,7 @@
     def _submit_form(self, request: AdminRequest) -> AdminAnswer:
         fields = _read_fields(request.body)
         if fields.get('token') != compute_form_token(request.session_token):
-            return answer_json(
-                403, {'error': 'the form token does not match the session'}
-            )
+            return answer_json(403, {'error': 'the form is not of a session'})
         document = read_form(fields)
         seen_generation = int(fields.get('seen', '0') or 0)
         action = fields.get('do', 'check')
--- a/merlintrail/node/_exchange.py
+++ b/merlintrail/node/_exchange.py
@@ -178,7 +178,7 @@
         return Refusal(
             Outcome.MAY_HAVE_RUN,
             Reason.PEER_LOST,
-            'no reply to inquiries about the call',
+            'no word of the call',
         )
 
     async def _inquire(
--- a/merlintrail/node/_local_service.py
+++ b/merlintrail/node/_local_service.py
@@ -58,9 +58,7 @@
                 403, {'error': 'only for backend servers of this instance'}
             )
         if request.method != 'POST' or subject not in {'announce', 'drain'}:
-            return _build_answer(
-                404, {'error': f'no endpoint {subject!r} here'}
-            )
+            return _build_answer(404, {'error': f'no {subject!r} here'})
         document = decode_json(request.body)
         if not isinstance(document, dict):
             return _build_answer(400, {'error': 'not a JSON object'})
--- a/merlintrail/state/_validation.py
+++ b/merlintrail/state/_validation.py
@@ -182,7 +182,7 @@
         for name in sorted(pair - regions):
             yield Finding(pointer, f'unknown region {name!r}')
         if len(pair) == 1:
-            yield Finding(pointer, 'a link must join two different regions')
+            yield Finding(pointer, 'a link joins two regions')
         if pair in pairs:
             yield Finding(pointer, 'the pair of regions is repeated')
         pairs.add(pair)
--- a/merlintrail/transport/_client.py
+++ b/merlintrail/transport/_client.py
@@ -130,7 +130,7 @@
         """Fail the exchange in progress."""
         self.is_reusable = False
         end = 'closed' if exc is None else f'lost: {exc}'
-        self._fail(f'connection {end} before the whole answer arrived')
+        self._fail(f'connection {end} before the whole answer')
 
     def data_received(self, data: bytes) -> None:  # noqa: WPS110
         """Parse received bytes; unsolicited ones close the connection."""
